--- a/ospreybridge/access/calls.py
+++ b/ospreybridge/access/calls.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 
 from ospreybridge import interface as i
-from ospreybridge.core.timers import Due
+from ospreybridge.core.timers import ScheduledTimer
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.errors import MessageError
 from ospreybridge.signalling.jsonl import Message
@@ -32,7 +32,7 @@
     began: float
     ends: float  # given up then
     link: int = 0  # the connection it was written to; 0 while it waits for one
-    timer: Due | None = None
+    timer: ScheduledTimer | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -50,7 +50,7 @@
     attempts: int = 0
     office: int = 0  # where it stands
     cause: int = 0  # of its last attempt's release
-    timer: Due | None = None
+    timer: ScheduledTimer | None = None
     since: float = 0.0
 
 
@@ -100,7 +100,7 @@
         key = meta.get("key")
         if not isinstance(key, str) or not _KEY.fullmatch(key):
             raise MessageError("key: hex digits were expected")
-        extras = jsonl.words(meta.get("extras"))
+        extras = jsonl.parse_extras(meta.get("extras"))
         at = extras.get("at")
         try:
             office = frames.office_id(at) if at is not None else None
@@ -109,7 +109,7 @@
         kind = self.kinds[cls]
         left = 0.0
         if office is None:
-            left = jsonl.number(meta.get("left"), "left")
+            left = jsonl.parse_number(meta.get("left"), "left")
             if not 0 < left <= kind.deadline + LEFT_SLACK:
                 raise MessageError(f"left: above 0 and at most {kind.deadline:g} was expected")
             if not message.body:
@@ -128,7 +128,7 @@
         )
 
     def _whole(self, words: dict[str, str], name: str, low: int, high: int, absent: str = "") -> int:
-        found = jsonl.number(words.get(name, absent), name)
+        found = jsonl.parse_number(words.get(name, absent), name)
         if found != int(found) or not low <= found <= high:
             raise MessageError(f"{name}: a whole number from {low} to {high} was expected")
         return int(found)
--- a/ospreybridge/access/offices.py
+++ b/ospreybridge/access/offices.py
@@ -15,7 +15,7 @@
 READINESS = {
     frames.READY: i.Readiness.READY,
     frames.DRAINING: i.Readiness.DRAINING,
-    frames.GONE: i.Readiness.GONE,
+    frames.REMOVED: i.Readiness.GONE,
 }
 THOUSANDTHS = 1_000.0
 Address = tuple[str, int]
@@ -40,31 +40,31 @@
 
     def news(self, now: float, frame: frames.Frame) -> i.Members | None:
         """What an event means to the module; None for nothing new; FrameError where it can't be meant."""
-        if frame.kind == frames.NOTHING or frame.number <= self.last:
+        if frame.kind == frames.NO_CHANGES or frame.number <= self.last:
             return None
         if frame.kind == frames.CHANGES and frame.number != self.last + 1:
             raise FrameError(f"event {frame.number} after {self.last}")
         for r in frame.records:
-            if r.state != frames.GONE and (r.zone >= self.zones or r.kind >= self.kinds or not r.port):
+            if r.state != frames.REMOVED and (r.zone >= self.zones or r.kind >= self.kinds or not r.port):
                 raise FrameError(f"office {frames.office_name(r.id)} has no zone, kind or port")
         entries = tuple(self._entry(now, record) for record in frame.records)
         self.last = frame.number
-        if frame.kind == frames.WHOLE:
+        if frame.kind == frames.FULL_LIST:
             listed = {entry.office for entry in entries}
             for office in self.known.values():
                 if office.id not in listed:
                     self._state(now, office, i.Readiness.GONE)
-        form = i.ListForm.FULL if frame.kind == frames.WHOLE else i.ListForm.DELTA
+        form = i.ListForm.FULL if frame.kind == frames.FULL_LIST else i.ListForm.DELTA
         return i.Members(form, frame.number, entries)
 
-    def _entry(self, now: float, r: frames.Record) -> i.Entry:
-        started = max(0.001, r.started - self.unix) if r.started else 0.0
+    def _entry(self, now: float, r: frames.OfficeRecord) -> i.Entry:
+        started = max(0.001, r.started_unix_ms - self.unix) if r.started_unix_ms else 0.0
         office = self.known.get(r.id)
         if office is None:
             office = self.known[r.id] = Office(
                 r.id, r.cell, (r.address, r.port), i.Readiness.READY, started, 0.0
             )
-        if r.state != frames.GONE:
+        if r.state != frames.REMOVED:
             office.cell, office.address, office.started = r.cell, (r.address, r.port), started
         self._state(now, office, READINESS[r.state])
         weight = r.weight / THOUSANDTHS
--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -19,7 +19,7 @@
 from ospreybridge.access.offices import Offices
 from ospreybridge.access.pool import Link, Pool
 from ospreybridge.access.releases import Release, Releases
-from ospreybridge.core.timers import Timers
+from ospreybridge.core.timers import TimerQueue
 from ospreybridge.policy import Controller
 from ospreybridge.settings.instance import read_report
 from ospreybridge.settings.platform import Address, Platform
@@ -27,9 +27,9 @@
 from ospreybridge.signalling.errors import MessageError
 from ospreybridge.signalling.jsonl import Message
 
-REFUSALS = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER)  # trying again is harmless
-RESET = causes.TEMPORARY  # an office's word for a set-up or a call that was cut
-MOOT = causes.TIMER  # an office's word for a set-up that never left
+REFUSALS = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER_EXPIRY)  # trying again is harmless
+RESET = causes.TEMPORARY_FAILURE  # an office's word for a set-up or a call that was cut
+MOOT = causes.TIMER_EXPIRY  # an office's word for a set-up that never left
 SLACK = 50.0  # ms by which the platform lengthens each of the rules' times
 UPKEEP = 50.0  # ms between looks at connections
 MOST_STANDING = 20_000  # calls that stand: some hundred octets each
@@ -61,7 +61,7 @@
     def __init__(
         self,
         platform: Platform,
-        timers: Timers,
+        timers: TimerQueue,
         port: Port,
         now: float,
         unix: float,
@@ -95,7 +95,7 @@
         self.counts: Counter[str] = Counter()
         for frame in platform.known:
             self.news(now, frame)
-        timers.at(now + UPKEEP, self._upkeep)
+        timers.schedule(now + UPKEEP, self._upkeep)
 
     # -- clients
 
@@ -227,7 +227,7 @@
         call = client.calls.get(uid)
         if call is not None:
             self._caller_left(now, call)
-        self._say(client.conn, Message(jsonl.STOP, uid, {"note": why}, causes.PROTOCOL))
+        self._say(client.conn, Message(jsonl.STOP, uid, {"note": why}, causes.PROTOCOL_ERROR))
         self._run(now)
 
     def _stands_already(self, now: float, client: Client, uid: str, office: int) -> None:
@@ -254,7 +254,7 @@
         call = self.standing.get(message.uid)
         if call is not None:
             self._ended(now, call, i.Result.CANCELLED)
-            self._tell_office(now, call.office, Message(jsonl.STOP, call.uid, {}, causes.NORMAL))
+            self._tell_office(now, call.office, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING))
             self._run(now)
         self._say(client.conn, Message(jsonl.STOPPED, message.uid))
 
@@ -355,11 +355,11 @@
             self._attempt(now, action)
         elif type(action) is i.Refuse or type(action) is i.Fail:
             self._give_up(now, action)
-        elif type(action) is i.Remind:
-            self.timers.at(now + action.after, self._remind, action.label)
+        elif type(action) is i.StartTimer:
+            self.timers.schedule(now + action.delay, self._remind, action.label)
         elif type(action) is i.Cancel:
             self._cancel(now, action)
-        elif type(action) is i.Tell:
+        elif type(action) is i.NotifyPeers:
             self._tell(action)
         elif type(action) is i.Probe:
             self._probe(now, action.office)
@@ -368,10 +368,10 @@
         # Follow and Lookup: the feed follows always. Close: the pools give back what is idle.
 
     def _remind(self, now: float, label: int) -> None:
-        self.events.append(i.Timer(label))
+        self.events.append(i.TimerExpired(label))
         self._run(now)
 
-    def _tell(self, action: i.Tell) -> None:
+    def _tell(self, action: i.NotifyPeers) -> None:
         to = self.p.peers_all if action.peer is None else None
         if action.peer is not None and 0 <= action.peer < len(self.p.peers):
             to = self.p.peers[action.peer]
@@ -384,7 +384,7 @@
         if sender is None or not body or len(body) > MOST_DATAGRAM:
             self.counts["datagrams dropped"] += 1
             return
-        self.events.append(i.Peer(sender, body))
+        self.events.append(i.PeerMessage(sender, body))
         self._run(now)
 
     # -- attempts
@@ -394,7 +394,7 @@
         if call is None or call.stage is not Stage.PENDING or call.out is not None:
             self.note("attempt for no call", ref=action.ref)
             return
-        ends = min(now + max(1.0, action.max_wait), call.expires)
+        ends = min(now + max(1.0, action.timeout), call.expires)
         attempt = Attempt(call, call.attempts, action.office, now, ends)
         call.attempts += 1
         call.out = attempt
@@ -402,7 +402,7 @@
         if pool is None or self.offices.barred(now, action.office, self.s.rules.drain_grace):
             self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
             return
-        attempt.timer = self.timers.at(ends, self._timeout, attempt)
+        attempt.timer = self.timers.schedule(ends, self._timeout, attempt)
         pool.waiting.append(attempt)
         self._serve(now, pool)
 
@@ -424,7 +424,7 @@
         if not attempt.link:  # it never left
             self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
         else:
-            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL))
+            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING))
             self.pools[attempt.office].retire(attempt.link, now)
             self._attempt_over(now, attempt, i.Result.TIMEOUT)
         self._run(now)
@@ -437,7 +437,7 @@
         if not attempt.link:
             self._attempt_over(now, attempt, i.Result.MOOT)
         else:
-            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL))
+            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING))
             self._attempt_over(now, attempt, i.Result.CANCELLED)
 
     def _attempt_over(
@@ -608,7 +608,7 @@
         if client is not None:
             client.trust = c.SERVED
         self._say(call.client, Message(jsonl.RUNNING, call.uid, {}, body=message.body))
-        self.events.append(i.Stands(call.ref, attempt.number, attempt.office, now - attempt.began))
+        self.events.append(i.Established(call.ref, attempt.number, attempt.office, now - attempt.began))
 
     def _office_stops(self, now: float, pool: Pool, link: Link, message: Message) -> None:
         uid, cause = message.uid, message.reason
@@ -622,7 +622,7 @@
         self._say(link.conn, Message(jsonl.STOPPED, uid))
         call = self.standing.get(uid)
         if call is not None and call.office == pool.office:
-            self._ended(now, call, i.Result.OK if cause == causes.NORMAL else i.Result.RESET, report)
+            self._ended(now, call, i.Result.OK if cause == causes.NORMAL_CLEARING else i.Result.RESET, report)
             self._release(now, uid, cause, call.client)
         elif call is None and uid not in self.pending:
             # Perhaps a call that stood before this process started, and that its caller has not named yet.
@@ -634,12 +634,12 @@
         """What an office's release before the answer says."""
         cause, meta = message.reason, message.meta
         note = NOTES.get(str(meta.get("note", "")), i.Note.NONE)
-        wait = max(0.0, jsonl.number(meta["waited"], "waited")) if "waited" in meta else 0.0
+        wait = max(0.0, jsonl.parse_number(meta["waited"], "waited")) if "waited" in meta else 0.0
         if meta.get("note") == "end_queue_long":
             wait = max(wait, BEYOND_FULL)
         if cause == causes.NO_CIRCUIT:
             return i.Result.FULL, note, wait
-        if cause in (causes.BUSY, causes.NOT_AVAILABLE):
+        if cause in (causes.USER_BUSY, causes.RESOURCE_UNAVAILABLE):
             return i.Result.ERROR, note, wait
         if cause == MOOT:
             return i.Result.MOOT, note, wait
@@ -647,11 +647,11 @@
 
     def _report(self, meta: dict[str, jsonl.Value]) -> i.Report | None:
         """The state of a group where a message has one; what is not told stays not told."""
-        told = jsonl.words(meta.get("load"))
+        told = jsonl.parse_extras(meta.get("load"))
         if not told:
             return None
         values = tuple(
-            jsonl.number(told[column], column) if column in told else -1.0 for column in self.p.columns
+            jsonl.parse_number(told[column], column) if column in told else -1.0 for column in self.p.columns
         )
         return read_report(self.p.columns, values)
 
@@ -663,7 +663,7 @@
             return
         uid = f"{self.random.getrandbits(64):016x}"
         self.checks[uid] = (office, now)
-        self.timers.at(now + self.s.limits.dial_timeout, self._unchecked, uid)
+        self.timers.schedule(now + self.s.limits.dial_timeout, self._unchecked, uid)
         self._say(link.conn, Message(jsonl.CHECK, uid))
 
     def _unchecked(self, now: float, uid: str) -> None:
@@ -691,7 +691,7 @@
                 self._office_lost(now, office.id, "started again")
             if office.readiness is i.Readiness.GONE:
                 self._gone(now, office.id)
-            elif office.cell != self.s.here and office.id not in self.pools:
+            elif office.cell != self.s.own_exchange and office.id not in self.pools:
                 self.pools[office.id] = Pool(office.id, now, self.random)
                 self._dial(now, self.pools[office.id])
         self.note("list", number=frame.number, kind=frame.kind, entries=len(members.entries))
@@ -718,7 +718,7 @@
 
     def _upkeep(self, now: float) -> None:
         """Opens spare connections, gives idle ones back, closes silent clients, notices dead offices."""
-        self.timers.at(now + UPKEEP, self._upkeep)
+        self.timers.schedule(now + UPKEEP, self._upkeep)
         taken = {o.address for o in self.offices.known.values() if o.readiness is not i.Readiness.GONE}
         for pool in list(self.pools.values()):
             office = self.offices.known[pool.office]
@@ -751,12 +751,12 @@
         if self.stopping is None:
             self.stopping = now
             self.note("stopping", pending=len(self.pending), standing=len(self.standing))
-            self.timers.at(now + STOP_ENDS, self._last_answers)
+            self.timers.schedule(now + STOP_ENDS, self._last_answers)
 
     def _last_answers(self, now: float) -> None:
         for call in list(self.pending.values()):
             if call.out is not None and call.out.link:
-                self._say(call.out.link, Message(jsonl.STOP, call.uid, {}, causes.NORMAL))
+                self._say(call.out.link, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING))
                 self._detach(now, call.out)
                 call.out = None
             self._final(now, call, causes.CONGESTION, {})
--- a/ospreybridge/cli/keys.py
+++ b/ospreybridge/cli/keys.py
@@ -10,12 +10,12 @@
 import click
 from cryptography import x509
 
-from ospreybridge.keys import facts as read_facts
-from ospreybridge.keys import judge, material
-from ospreybridge.keys.authority import AUTHORITY, Authority
-from ospreybridge.keys.facts import DIALS, SERVES, Facts
-from ospreybridge.net.tls import Contexts
-from ospreybridge.settings.faults import SettingsError
+from ospreybridge.keys import certificate_info as read_facts
+from ospreybridge.keys import credentials, validation
+from ospreybridge.keys.authority import CA_FILE_STEM, CertificateAuthority
+from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH, CertificateInfo
+from ospreybridge.net.tls import TlsContexts
+from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.server import load
 
 FOLDER = click.Path(file_okay=False, path_type=Path)
@@ -40,9 +40,9 @@
     sys.exit(2)
 
 
-def _open(folder: Path) -> Authority:
+def _open(folder: Path) -> CertificateAuthority:
     try:
-        return Authority.open(folder)
+        return CertificateAuthority.open(folder)
     except (OSError, ValueError) as error:
         _fail(f"{folder}: holds no test authority: {error}")
         raise AssertionError from error
@@ -57,9 +57,9 @@
 
     An authority that stands there already is left alone. For trials: a real network has its own.
     """
-    if (folder / f"{AUTHORITY}.key").exists():
+    if (folder / f"{CA_FILE_STEM}.key").exists():
         _fail(f"{folder}: has an authority already; take another folder or remove it first")
-    Authority.make(folder, days, name)
+    CertificateAuthority.create(folder, days, name)
     click.echo(f"{folder}: ca.crt, ca.key, ca.crl")
 
 
@@ -74,8 +74,8 @@
 
     Files that stand there are replaced, each whole; a running server takes the new set up by itself.
     """
-    if rsa and not judge.LEAST_BITS["RSA"] <= rsa <= 8_192:
-        raise click.UsageError(f"--rsa: from {judge.LEAST_BITS['RSA']} to 8192 bits")
+    if rsa and not validation.MIN_KEY_BITS["RSA"] <= rsa <= 8_192:
+        raise click.UsageError(f"--rsa: from {validation.MIN_KEY_BITS['RSA']} to 8192 bits")
     made = file or names[0].partition(".")[0]
     try:
         _open(folder).issue(made, list(names), days, rsa_bits=rsa)
@@ -91,13 +91,15 @@
     """Puts CERTIFICATE on the revocation list of the authority in FOLDER."""
     authority = _open(folder)
     serial = _read(certificate)[0].serial
-    authority.revoke(sorted({*authority.revoked(), serial}))
-    click.echo(f"{folder / 'ca.crl'}: {len(authority.revoked())} revoked, with serial {serial:x}")
+    authority.write_revocation_list(sorted({*authority.revoked_serials(), serial}))
+    click.echo(f"{folder / 'ca.crl'}: {len(authority.revoked_serials())} revoked, with serial {serial:x}")
 
 
-def _read(path: Path) -> list[Facts]:
+def _read(path: Path) -> list[CertificateInfo]:
     try:
-        return [read_facts.of(one) for one in x509.load_pem_x509_certificates(path.read_bytes())]
+        return [
+            read_facts.from_certificate(one) for one in x509.load_pem_x509_certificates(path.read_bytes())
+        ]
     except (ValueError, OSError) as error:
         _fail(f"{path}: no PEM certificate: {error}")
         raise AssertionError from error
@@ -115,16 +117,19 @@
     now = time.time()
     for path in files:
         for facts in _read(path):
-            faults = {str(judge.fault(facts, now, purpose, ())) for purpose in (SERVES, DIALS)} - {"None"}
-            if facts.authority:
-                faults -= {str(judge.Reason.WRONG_PURPOSE)}
+            faults = {
+                str(validation.certificate_error(facts, now, purpose, ()))
+                for purpose in (SERVER_AUTH, CLIENT_AUTH)
+            } - {"None"}
+            if facts.is_ca:
+                faults -= {str(validation.FailureReason.WRONG_PURPOSE)}
             click.echo(f"{path}")
             rows = [
-                ("names", ", ".join(facts.names) or "none"),
-                ("kind", "authority" if facts.authority else "end"),
+                ("names", ", ".join(facts.dns_names) or "none"),
+                ("kind", "authority" if facts.is_ca else "end"),
                 ("begins", datetime.fromtimestamp(facts.not_before, UTC).strftime("%Y-%m-%d %H:%M UTC")),
                 ("ends", _left(facts.not_after, now)),
-                ("key", f"{facts.key} {facts.bits}"),
+                ("key", f"{facts.key_type} {facts.key_bits}"),
                 ("purposes", ", ".join(sorted(facts.purposes)) or "none of a link's"),
                 ("serial", f"{facts.serial:x}"),
                 ("refused as", ", ".join(sorted(faults)) or "-"),
@@ -143,25 +148,27 @@
     try:
         settings = load(file)
     except SettingsError as error:
-        _fail("\n".join(error.faults))
+        _fail("\n".join(error.errors))
         return
     if settings.tls is None:
-        plain = sum(not peer.tls for peer in settings.peers)
+        plain = sum(not peer.tls_name for peer in settings.peers)
         click.echo(f"{file}: no tls node; {plain} peers are plain")
         return
     now = time.time()
     try:
-        held = material.load(settings.tls.paths, now, settings.tls.name)
-        Contexts(held, settings.tls.allow_12)
-    except material.MaterialError as error:
-        _fail("\n".join(error.faults))
+        held = credentials.load(settings.tls.paths, now, settings.tls.name)
+        TlsContexts(held, settings.tls.allow_12)
+    except credentials.CredentialsError as error:
+        _fail("\n".join(error.errors))
         return
-    click.echo(f"{file}: set {held.digest} is sound, names {', '.join(held.own.names)}")
-    for name, end in held.ends.items():
+    click.echo(f"{file}: set {held.digest} is sound, names {', '.join(held.own_certificate.dns_names)}")
+    for name, end in held.expiry_times.items():
         click.echo(f"  {name}: {_left(end, now)}")
-    if held.list_ends is not None:
-        click.echo(f"  revocation list, next due: {_left(held.list_ends, now)}; {len(held.revoked)} revoked")
-    secured = [peer for peer in settings.peers if peer.tls]
+    if held.crl_next_update is not None:
+        click.echo(
+            f"  revocation list, next due: {_left(held.crl_next_update, now)}; {len(held.revoked)} revoked"
+        )
+    secured = [peer for peer in settings.peers if peer.tls_name]
     click.echo(f"  {len(secured)} peers over TLS, {len(settings.peers) - len(secured)} plain")
     first = max(settings.tls.warn_days, default=0.0)
-    sys.exit(1 if min(held.ends.values()) - now < first * DAY else 0)
+    sys.exit(1 if min(held.expiry_times.values()) - now < first * DAY else 0)
--- a/ospreybridge/cli/main.py
+++ b/ospreybridge/cli/main.py
@@ -14,10 +14,10 @@
 
 import click
 
-from ospreybridge.settings.faults import SettingsError
+from ospreybridge.settings.errors import SettingsError
 
 if TYPE_CHECKING:
-    from ospreybridge.settings.server import Server
+    from ospreybridge.settings.server import ServerSettings
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 OUT = click.Path(dir_okay=False, path_type=Path)
@@ -65,21 +65,21 @@
     try:
         return read()
     except SettingsError as error:
-        for fault in error.faults:
+        for fault in error.errors:
             click.echo(fault, err=True)
         sys.exit(2)
 
 
-def _settings(path: Path) -> Server:
+def _settings(path: Path) -> ServerSettings:
     from ospreybridge.settings.server import load
 
     return _sound(lambda: load(path))
 
 
-def _plain_only(file: Path, settings: Server, *roles: str) -> None:
+def _plain_only(file: Path, settings: ServerSettings, *roles: str) -> None:
     """Ends a command that stands in for a peer whose link needs a certificate, which it has not."""
     for peer in settings.peers:
-        if peer.role in roles and peer.tls:
+        if peer.role in roles and peer.tls_name:
             click.echo(f"{file}: peer {peer.name}: over TLS; this command has a plain link only", err=True)
             sys.exit(2)
 
@@ -125,7 +125,7 @@
         _serve_platform(logger, form, log_calls)
 
     from ospreybridge.daemon.daemon import Daemon
-    from ospreybridge.keys.material import MaterialError
+    from ospreybridge.keys.credentials import CredentialsError
 
     settings = _settings(file)
     record = None
@@ -143,8 +143,8 @@
     except OSError as error:
         click.echo(f"{file}: listen: {error}", err=True)
         sys.exit(2)
-    except MaterialError as error:
-        for fault in error.faults:
+    except CredentialsError as error:
+        for fault in error.errors:
             click.echo(f"{file}: tls: {fault}", err=True)
         sys.exit(2)
     if port_file is not None:
@@ -183,7 +183,7 @@
 
     The office answers every call after its processor's work; the list tells all exchanges ready.
     """
-    from ospreybridge.net.loop import Loop
+    from ospreybridge.net.loop import EventLoop
     from ospreybridge.settings.server import Peer
     from ospreybridge.standins.endpoint import Endpoint, Place
     from ospreybridge.standins.listservice import ListLink, TheList
@@ -191,13 +191,18 @@
 
     settings = _settings(file)
     _plain_only(file, settings, "office", "list")
-    loop = Loop()
+    loop = EventLoop()
     numbers = [settings.point_code, *(p.point_code for p in settings.peers if p.role == "exchange")]
     listed = TheList(loop, numbers, (0.0, 100.0), 1)
     standing: list[Endpoint] = []
     for peer in settings.peers:
         server = Peer(
-            settings.name, "exchange", settings.point_code, peer.context, dial=("", 0), cics=peer.cics
+            settings.name,
+            "exchange",
+            settings.point_code,
+            peer.routing_context,
+            dial_address=("", 0),
+            cics=peer.cics,
         )
         place = Place(loop, peer.point_code, server, lambda: settings.listen)
         if peer.role == "office":
--- a/ospreybridge/core/calls.py
+++ b/ospreybridge/core/calls.py
@@ -5,8 +5,8 @@
 from enum import IntEnum
 
 from ospreybridge.core.circuits import TrunkGroup
-from ospreybridge.core.timers import Due
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.core.timers import ScheduledTimer
+from ospreybridge.signalling.isup import IsupMessage
 
 
 class Stage(IntEnum):
@@ -26,7 +26,7 @@
         self.call: Call | None = call
         self.glare = False  # the far end seized it at the same time and has to yield
         self.released = 0.0  # when our first REL went out
-        self.timer: Due | None = None
+        self.timer: ScheduledTimer | None = None
 
 
 class Call:
@@ -52,9 +52,9 @@
         "width",
     )
 
-    def __init__(self, ref: int, iam: Isup, width: int) -> None:
+    def __init__(self, ref: int, iam: IsupMessage, width: int) -> None:
         self.ref, self.width = ref, width
-        self.iam: Isup | None = iam  # kept until the call stands: an attempt sends it on
+        self.iam: IsupMessage | None = iam  # kept until the call stands: an attempt sends it on
         self.inc: Leg | None = None
         self.out: Leg | None = None
         self.called = self.calling = ""
@@ -65,4 +65,4 @@
         self.local = self.transit = False  # local: delivered to the own exchange's lines
         self.trace = ref  # point code where the call began, times 2^32, and its number there: for logs
         self.cause = self.source = 0  # of the last release: its value, and where it failed
-        self.timer: Due | None = None
+        self.timer: ScheduledTimer | None = None
--- a/ospreybridge/core/callserver.py
+++ b/ospreybridge/core/callserver.py
@@ -15,15 +15,15 @@
 from ospreybridge import interface as i
 from ospreybridge.core import outcomes
 from ospreybridge.core.calls import Call, Leg, Stage
-from ospreybridge.core.circuits import State, TrunkGroup
-from ospreybridge.core.roster import Roster
+from ospreybridge.core.circuits import CircuitState, TrunkGroup
+from ospreybridge.core.exchange_list import Roster
 from ospreybridge.core.supervision import Supervision
-from ospreybridge.core.timers import Timers
+from ospreybridge.core.timers import TimerQueue
 from ospreybridge.policy import Controller
-from ospreybridge.settings.server import Peer, Server
+from ospreybridge.settings.server import Peer, ServerSettings
 from ospreybridge.signalling import causes, isup, m3ua, sccp
 from ospreybridge.signalling.errors import MessageError
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 HOPS = 3  # hop counter of a call that starts here: origin, tandem, terminating side
 NUMBERS = 1 << 63  # called numbers are handed to the module below this
@@ -32,16 +32,18 @@
 class Link(Protocol):
     """An active association to one peer, as the front gives it."""
 
-    def data(self, service: int, sls: int, body: bytes) -> None: ...
-    def beat(self, told: Callable[[float, float | None], None]) -> None: ...
-    def audit(self) -> None: ...
+    def send_data(self, service: int, sls: int, body: bytes) -> None: ...
+    def probe(self, on_result: Callable[[float, float | None], None]) -> None: ...
+    def request_audit(self) -> None: ...
 
 
 class CallServer:
-    def __init__(self, settings: Server, timers: Timers, log: Callable[..., None] | None = None) -> None:
-        self.s, self.timers, self.log = settings, timers, log
-        self.t = settings.timers
-        self.module = Controller(settings.module(), settings.seed)
+    def __init__(
+        self, settings: ServerSettings, timers: TimerQueue, log: Callable[..., None] | None = None
+    ) -> None:
+        self.settings, self.timers, self.log = settings, timers, log
+        self.timer_settings = settings.timers
+        self.module = Controller(settings.controller_settings(), settings.seed)
         self.peers: dict[int, Peer] = {peer.point_code: peer for peer in settings.peers}
         self.links: dict[int, Link] = {}
         self.changed: set[int] = set()
@@ -52,11 +54,11 @@
             for peer in settings.peers
             if peer.cics
         }
-        self.exchanges = {p.number: p.point_code for p in settings.peers if p.role == "exchange"}
+        self.exchange_codes = {p.number: p.point_code for p in settings.peers if p.role == "exchange"}
         self.office = next((p.point_code for p in settings.peers if p.role == "office"), None)
         self.callers = {p.point_code for p in settings.peers if p.role == "callers"}
         cells = {p.point_code: (p.number, p.zone) for p in settings.peers if p.role == "exchange"}
-        self.roster = Roster({settings.point_code: (settings.number, settings.zone), **cells})
+        self.exchange_list = Roster({settings.point_code: (settings.number, settings.zone), **cells})
         self.lists = [p.point_code for p in settings.peers if p.role == "list"]
         self.centre = next((p.point_code for p in settings.peers if p.role == "centre"), None)
         self.calls: dict[int, Call] = {}
@@ -70,7 +72,7 @@
         self.counts: Counter[str] = Counter()
         self.supervision = Supervision(self)
         circuits = self.supervision
-        self.handlers: dict[int, Callable[[float, TrunkGroup, Isup], None]] = {
+        self.handlers: dict[int, Callable[[float, TrunkGroup, IsupMessage], None]] = {
             isup.IAM: self._iam, isup.ACM: self._backward, isup.CON: self._backward, isup.ANM: self._backward,
             isup.CPG: self._backward, isup.REL: self._rel, isup.RLC: self._rlc, isup.RSC: circuits.rsc,
             isup.GRS: circuits.grs, isup.GRA: circuits.gra, isup.BLO: circuits.blocking,
@@ -83,7 +85,7 @@
             if self.peers[code].role == "exchange":
                 self.told[code] = 0
         if self.centre is not None:
-            timers.at(0.0, self._report)
+            timers.schedule(0.0, self._report)
 
     # -- associations
 
@@ -97,7 +99,7 @@
             if self.stopping:
                 self.supervision.block_all(now, group)
         if point_code in self.lists:
-            link.audit()
+            link.request_audit()
         self._run(now)
 
     def link_down(self, now: float, point_code: int, reason: str) -> None:
@@ -110,24 +112,26 @@
         if group is not None:
             for circuit in group.circuits.values():
                 leg = circuit.leg
-                group.set(circuit, State.DOWN)
+                group.set_state(circuit, CircuitState.DOWN)
                 # What the far end blocked it blocks again once it is back (Q.764, 2.9.3.3).
-                group.block(circuit, far=False)
+                group.set_blocked(circuit, remote=False)
                 if leg is not None:
                     self.leg_lost(now, leg)
         if point_code in self.lists:
             self.events.append(i.Members(i.ListForm.FAILED))
         self._run(now)
 
-    def news(self, now: float, kind: tuple[int, int], affected: list[tuple[int, int]], text: str) -> None:
+    def receive_list_update(
+        self, now: float, kind: tuple[int, int], affected: list[tuple[int, int]], text: str
+    ) -> None:
         """DAVA, DRST or DUNA of the list service."""
         for _, point_code in affected:
-            members = self.roster.news(now, kind, point_code, text)
+            members = self.exchange_list.news(now, kind, point_code, text)
             if members is not None:
                 self.note("list", kind=m3ua.NAMES[kind], point_code=point_code, version=members.version)
                 self.events.append(members)
                 for entry in members.entries:  # a pair may have no group at all: nothing is free there
-                    if entry.office not in self.groups and entry.office != self.s.point_code:
+                    if entry.office not in self.groups and entry.office != self.settings.point_code:
                         none = i.Report(free=0.0, size=0.0)
                         self.events.append(i.Probed(entry.office, i.Result.OK, 0.0, none))
                 self._run(now)
@@ -137,7 +141,7 @@
                 self.changed.update(self.told)
         self._run(now)
 
-    def data(self, now: float, point_code: int, message: m3ua.Data) -> None:
+    def receive_data(self, now: float, point_code: int, message: m3ua.Data) -> None:
         """One DATA message of a peer; MessageError where its user part can't be read."""
         if message.si == m3ua.SI_ISUP:
             try:
@@ -149,7 +153,7 @@
             group = self.groups.get(point_code)
             if group is None or decoded.cic not in group.circuits:
                 if decoded.type in (isup.IAM, isup.RSC, isup.GRS, isup.BLO, isup.CGB):
-                    self.send(point_code, Isup(decoded.cic, isup.UCIC))
+                    self.send(point_code, IsupMessage(decoded.cic, isup.UCIC))
                 return
             handler = self.handlers.get(decoded.type)
             if handler is None:
@@ -159,10 +163,10 @@
                 self._run(now)
         elif message.si == m3ua.SI_SCCP:
             subsystem, body = sccp.decode(message.body)
-            if subsystem == sccp.PEERS and self.peers[point_code].role == "exchange":
-                self.events.append(i.Peer(self.peers[point_code].number, body))
+            if subsystem == sccp.PEER_SUBSYSTEM and self.peers[point_code].role == "exchange":
+                self.events.append(i.PeerMessage(self.peers[point_code].number, body))
                 self._run(now)
-            elif subsystem == sccp.CENTRE and point_code == self.centre:
+            elif subsystem == sccp.CENTRE_SUBSYSTEM and point_code == self.centre:
                 pairs = zip(body[0::2], body[1::2], strict=False)
                 self.advice.update((dest, via) for dest, via in pairs if via != 255)
         else:
@@ -171,19 +175,24 @@
     def _confusion(self, point_code: int, body: bytes) -> None:
         """A message that can't be read is answered by CFN, never by silence or by the end of a call."""
         if len(body) >= 3 and body[2] != isup.CFN:
-            indicators = isup.cause_indicators(causes.UNKNOWN_MESSAGE, causes.LOCAL_NETWORK) + body[2:3]
-            self.send(point_code, Isup(body[0] | (body[1] & 15) << 8, isup.CFN, {isup.CAUSE: indicators}))
+            indicators = (
+                isup.encode_cause(causes.UNKNOWN_MESSAGE_TYPE, causes.LOCATION_LOCAL_NETWORK) + body[2:3]
+            )
+            self.send(
+                point_code,
+                IsupMessage(body[0] | (body[1] & 15) << 8, isup.CFN, {isup.CAUSE_INDICATORS: indicators}),
+            )
 
     def _report(self, now: float) -> None:
         """Tells the centre the free circuits of the own groups, three octets an exchange."""
-        self.timers.at(now + self.t.report, self._report)
+        self.timers.schedule(now + self.timer_settings.report, self._report)
         link = self.links.get(self.centre or -1)
         if link is not None:
-            body = bytes((self.s.number & 255,))
-            for number, code in sorted(self.exchanges.items())[:80]:
+            body = bytes((self.settings.number & 255,))
+            for number, code in sorted(self.exchange_codes.items())[:80]:
                 group = self.groups.get(code)
                 body += bytes((number & 255, number >> 8, min(255, group.free if group else 0)))
-            link.data(m3ua.SI_SCCP, 0, sccp.encode(sccp.CENTRE, body))
+            link.send_data(m3ua.SI_SCCP, 0, sccp.encode(sccp.CENTRE_SUBSYSTEM, body))
 
     # -- the module
 
@@ -196,7 +205,7 @@
             while self.changed or self.events:
                 if self.changed:
                     code = self.changed.pop()
-                    if code not in self.roster.entries or self.told.get(code) in (
+                    if code not in self.exchange_list.entries or self.told.get(code) in (
                         None,
                         self.groups[code].free,
                     ):
@@ -214,7 +223,7 @@
 
     def _exact(self, event: i.Outcome) -> i.Outcome:
         """The outcome with the circuits as they are now: what the module is told is never old."""
-        if event.office in self.told and event.office in self.roster.entries:
+        if event.office in self.told and event.office in self.exchange_list.entries:
             self.told[event.office] = self.groups[event.office].free
             self.changed.discard(event.office)
         return replace(event, report=self._circuits(event.office))
@@ -228,16 +237,16 @@
             self._attempt(now, action)
         elif type(action) is i.Refuse or type(action) is i.Fail:
             self._give_up(now, action)
-        elif type(action) is i.Remind:
-            self.timers.at(now + action.after, self._remind, action.label)
+        elif type(action) is i.StartTimer:
+            self.timers.schedule(now + action.delay, self._remind, action.label)
         elif type(action) is i.Cancel:
             self._cancel(now, action)
-        elif type(action) is i.Tell:
+        elif type(action) is i.NotifyPeers:
             self._tell(action)
-        elif type(action) is i.Follow or type(action) is i.Lookup:
+        elif type(action) is i.Subscribe or type(action) is i.Lookup:
             for code in self.lists:
                 if code in self.links:
-                    self.links[code].audit()
+                    self.links[code].request_audit()
                 else:
                     self.events.append(i.Members(i.ListForm.FAILED))
         elif type(action) is i.Probe:
@@ -247,13 +256,15 @@
         # Close has nothing to do: associations are provisioned, not kept for single calls.
 
     def _remind(self, now: float, label: int) -> None:
-        self.events.append(i.Timer(label))
+        self.events.append(i.TimerExpired(label))
         self._run(now)
 
-    def _tell(self, action: i.Tell) -> None:
-        for number, code in self.exchanges.items():
+    def _tell(self, action: i.NotifyPeers) -> None:
+        for number, code in self.exchange_codes.items():
             if (action.peer is None or action.peer == number) and code in self.links:
-                self.links[code].data(m3ua.SI_SCCP, 0, sccp.encode(sccp.PEERS, action.body[:254]))
+                self.links[code].send_data(
+                    m3ua.SI_SCCP, 0, sccp.encode(sccp.PEER_SUBSYSTEM, action.body[:254])
+                )
 
     def _probe(self, office: int) -> None:
         link = self.links.get(office)
@@ -266,28 +277,28 @@
             self.events.append(i.Probed(office, result, took or 0.0, self._circuits(office)))
             self._run(now)
 
-        link.beat(told)
+        link.probe(told)
 
     # -- a call comes in
 
-    def _iam(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _iam(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         circuit = group.circuits[message.cic]
-        width = 2 if message.parameters[isup.REQUIREMENT] == bytes((isup.TWO_TIMES_64,)) else 1
+        width = 2 if message.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,)) else 1
         cics: tuple[int, ...] = (message.cic,) if width == 1 else (message.cic, message.cic + 1)
-        if width == 2 and isup.CIRCUIT_MAP in message.parameters:
-            cics = isup.mapped_circuits(message.cic, message.parameters[isup.CIRCUIT_MAP])
+        if width == 2 and isup.CIRCUIT_ASSIGNMENT_MAP in message.parameters:
+            cics = isup.decode_circuit_map(message.cic, message.parameters[isup.CIRCUIT_ASSIGNMENT_MAP])
         if len(cics) != width or not all(cic in group.circuits for cic in cics):
-            self.send(group.there, Isup(message.cic, isup.UCIC))
+            self.send(group.there, IsupMessage(message.cic, isup.UCIC))
             return
         taken = [group.circuits[cic] for cic in cics]
-        mine = {id(c.leg): c.leg for c in taken if c.state is State.OUT and c.leg is not None}
+        mine = {id(c.leg): c.leg for c in taken if c.state is CircuitState.SEIZED and c.leg is not None}
         for leg in mine.values():
             if not group.yields(leg.cics, cics):
                 self.counts["dual seizure won"] += 1
                 leg.glare = True
                 return  # the other end drops its own call
-        if any(c.state not in (State.IDLE, State.OUT) for c in taken):
-            if circuit.state is State.IN:  # a circuit the far end holds already: both ends start anew
+        if any(c.state not in (CircuitState.IDLE, CircuitState.SEIZED) for c in taken):
+            if circuit.state is CircuitState.IN:  # a circuit the far end holds already: both ends start anew
                 self.supervision.reset_circuit(now, group, circuit)
             return
         if any(c.near_blocked for c in taken):
@@ -296,20 +307,20 @@
             return
         for leg in mine.values():
             for cic in leg.cics:
-                group.set(group.circuits[cic], State.IDLE)
+                group.set_state(group.circuits[cic], CircuitState.IDLE)
         self.last_ref = self.last_ref % 0xFFFFFFFF + 1
         call = Call(self.last_ref, message, width)
         call.inc = Leg(group, cics, call, outgoing=False)
         for c in taken:
-            group.set(c, State.IN, call.inc)
+            group.set_state(c, CircuitState.IN, call.inc)
         self.calls[call.ref] = call
         for leg in mine.values():
             self._dual_seizure_lost(now, leg)
-        words = isup.words(message.parameters.get(isup.USER_TO_USER))
+        words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
         refusal = self._read(now, group, call, message, words)
         if refusal:
             self.final(now, call, refusal)
-        elif call.dest == self.s.number:
+        elif call.dest == self.settings.number:
             self._deliver(now, call)
         else:
             self.events.append(
@@ -321,34 +332,38 @@
                     float(width),
                     tenant=self._tenant(call.calling),
                     via=self.advice.get(call.dest, -1),
-                    number=int(call.called) % NUMBERS,
-                    again="again" in words,
+                    called_number=int(call.called) % NUMBERS,
+                    redial="again" in words,
                     transit=call.transit,
-                    cut="cut" in words,
+                    after_cut="cut" in words,
                 )
             )
 
-    def _read(self, now: float, group: TrunkGroup, call: Call, message: Isup, words: dict[str, int]) -> int:
+    def _read(
+        self, now: float, group: TrunkGroup, call: Call, message: IsupMessage, words: dict[str, int]
+    ) -> int:
         """Fills in what the tables say of the numbers; the cause of a refusal, or 0."""
         parameters = message.parameters
         try:
-            call.called = isup.called_number(parameters[isup.CALLED])
-            if isup.CALLING in parameters:
-                call.calling = isup.calling_number(parameters[isup.CALLING])
+            call.called = isup.decode_called_number(parameters[isup.CALLED_NUMBER])
+            if isup.CALLING_NUMBER in parameters:
+                call.calling = isup.decode_calling_number(parameters[isup.CALLING_NUMBER])
         except MessageError:
-            return causes.INVALID_NUMBER
+            return causes.INVALID_NUMBER_FORMAT
         if not call.called.isdigit():
-            return causes.INVALID_NUMBER
-        call.cls = self._class(call.called, parameters[isup.CATEGORY][0])
-        call.dest = longest(self.s.prefixes, call.called)
+            return causes.INVALID_NUMBER_FORMAT
+        call.cls = self._class(call.called, parameters[isup.CALLING_CATEGORY][0])
+        call.dest = longest(self.settings.prefixes, call.called)
         call.transit = self.peers[group.there].role == "exchange"
         call.trace = words.get("trace", 0) if call.transit else 0
-        call.trace = call.trace or self.s.point_code << 32 | call.ref
+        call.trace = call.trace or self.settings.point_code << 32 | call.ref
         left = words.get("left", 0)
-        deadline = self.s.classes[call.cls].deadline
+        deadline = self.settings.classes[call.cls].deadline
         patience = min(left, deadline) if left else deadline
         # The answer needs a way back, and this process may be late itself: rule 1 counts where it arrives.
-        call.expires = now + patience - self.timers.lateness.margin(now, patience, self.s.answer_margin)
+        call.expires = (
+            now + patience - self.timers.lateness.margin(now, patience, self.settings.answer_margin)
+        )
         self._log(
             call,
             "call",
@@ -359,46 +374,46 @@
             cics=call.inc.cics if call.inc else (),
         )
         if call.dest < 0:
-            return causes.UNALLOCATED
+            return causes.UNALLOCATED_NUMBER
         if self.stopping:
             return causes.CONGESTION
-        if call.transit and isup.hops(parameters) == 0:
-            return causes.ROUTING  # the call goes in a circle
+        if call.transit and isup.decode_hop_counter(parameters) == 0:
+            return causes.EXCHANGE_ROUTING_ERROR  # the call goes in a circle
         return 0
 
     def _class(self, called: str, category: int) -> int:
         by_category = -1
-        for index, rule in enumerate(self.s.class_rules):
-            if any(called.startswith(prefix) for prefix in rule.called):
+        for index, rule in enumerate(self.settings.class_rules):
+            if any(called.startswith(prefix) for prefix in rule.called_prefixes):
                 return index
             if by_category < 0 and category in rule.categories:
                 by_category = index
         return max(0, by_category)
 
     def _tenant(self, calling: str) -> int:
-        return max(0, longest(self.s.tenant_prefixes, calling)) if self.s.tenant_prefixes else 0
+        return max(0, longest(self.settings.tenant_prefixes, calling)) if self.settings.tenant_prefixes else 0
 
     def _deliver(self, now: float, call: Call) -> None:
         """A call that ends here goes to the own office's lines; there is nothing to choose."""
         call.local = True
         office = self.office
         if (
-            self.roster.barred(now, self.s.point_code, self.s.rules.drain_grace)
+            self.exchange_list.barred(now, self.settings.point_code, self.settings.rules.drain_grace)
             or office is None
             or office not in self.links
         ):
-            self.final(now, call, causes.OUT_OF_ORDER)
-        elif not (cics := self.groups[office].choose(call.width)):
+            self.final(now, call, causes.DESTINATION_OUT_OF_ORDER)
+        elif not (cics := self.groups[office].select(call.width)):
             self.final(now, call, causes.NO_CIRCUIT)
         else:
             self._seize(now, call, office, cics, call.expires - now)
-            limit = min(now + self.t.t7, call.expires - 2.0 * self.s.tick)
-            call.timer = self.timers.at(limit, self._local_late, call)
+            limit = min(now + self.timer_settings.t7, call.expires - 2.0 * self.settings.tick)
+            call.timer = self.timers.schedule(limit, self._local_late, call)
 
     def _local_late(self, now: float, call: Call) -> None:
         if call.out is not None:
-            self.release(now, call.out, causes.TIMER)
-        self.final(now, call, causes.TIMER)
+            self.release(now, call.out, causes.TIMER_EXPIRY)
+        self.final(now, call, causes.TIMER_EXPIRY)
 
     # -- an attempt goes out
 
@@ -414,48 +429,48 @@
         if action.office not in self.links or group is None:
             self._outcome(now, call, action.office, i.Result.CONNECT_FAILED)
             return
-        cics = group.choose(call.width)
+        cics = group.select(call.width)
         if not cics:
             self._outcome(now, call, action.office, i.Result.MOOT, i.Note.NO_CIRCUIT)
             return
-        self._seize(now, call, action.office, cics, min(action.max_wait, call.expires - now))
-        call.timer = self.timers.at(now + action.max_wait, self._late, call, call.attempt)
-        self._log(call, "attempt", number=call.attempt, to=group.name, cics=cics, wait=round(action.max_wait))
+        self._seize(now, call, action.office, cics, min(action.timeout, call.expires - now))
+        call.timer = self.timers.schedule(now + action.timeout, self._late, call, call.attempt)
+        self._log(call, "attempt", number=call.attempt, to=group.name, cics=cics, wait=round(action.timeout))
 
     def _seize(self, now: float, call: Call, point_code: int, cics: tuple[int, ...], left: float) -> None:
         group = self.groups[point_code]
         call.out = leg = Leg(group, cics, call, outgoing=True)
         for cic in cics:
-            group.set(group.circuits[cic], State.OUT, leg)
+            group.set_state(group.circuits[cic], CircuitState.SEIZED, leg)
         assert call.iam is not None
         given = call.iam.parameters
         parameters = {
-            isup.NATURE: given[isup.NATURE],
-            isup.FORWARD: given[isup.FORWARD],
-            isup.CATEGORY: given[isup.CATEGORY],
-            isup.REQUIREMENT: given[isup.REQUIREMENT],
-            isup.CALLED: given[isup.CALLED],
+            isup.NATURE_OF_CONNECTION: given[isup.NATURE_OF_CONNECTION],
+            isup.FORWARD_INDICATORS: given[isup.FORWARD_INDICATORS],
+            isup.CALLING_CATEGORY: given[isup.CALLING_CATEGORY],
+            isup.MEDIUM_REQUIREMENT: given[isup.MEDIUM_REQUIREMENT],
+            isup.CALLED_NUMBER: given[isup.CALLED_NUMBER],
         }
-        if isup.CALLING in given:
-            parameters[isup.CALLING] = given[isup.CALLING]
-        hops = isup.hops(given)
+        if isup.CALLING_NUMBER in given:
+            parameters[isup.CALLING_NUMBER] = given[isup.CALLING_NUMBER]
+        hops = isup.decode_hop_counter(given)
         parameters[isup.HOP_COUNTER] = bytes((max(0, (HOPS if hops is None else hops) - 1),))
         if call.width > 1 and cics[-1] - cics[0] != call.width - 1:
-            parameters[isup.CIRCUIT_MAP] = isup.circuit_map(cics)
+            parameters[isup.CIRCUIT_ASSIGNMENT_MAP] = isup.encode_circuit_map(cics)
         parameters[isup.USER_TO_USER] = b"\0left=%d trace=%d" % (max(1, left), call.trace)
-        self.send(point_code, Isup(cics[0], isup.IAM, parameters))
+        self.send(point_code, IsupMessage(cics[0], isup.IAM, parameters))
 
     def _late(self, now: float, call: Call, attempt: int) -> None:
         """The attempt's time-out: it is released, and what it held stays taken until RLC."""
         if call.out is not None and call.stage is Stage.PENDING and call.attempt == attempt:
-            call.cause, call.source = causes.TIMER, 0
-            self.attempt_over(now, call, causes.TIMER, i.Result.TIMEOUT)
+            call.cause, call.source = causes.TIMER_EXPIRY, 0
+            self.attempt_over(now, call, causes.TIMER_EXPIRY, i.Result.TIMEOUT)
             self._run(now)
 
     def _cancel(self, now: float, action: i.Cancel) -> None:
         call = self.calls.get(action.ref)
         if call is not None and call.out is not None and call.attempt == action.attempt:
-            self.attempt_over(now, call, causes.NORMAL, i.Result.CANCELLED)
+            self.attempt_over(now, call, causes.NORMAL_CLEARING, i.Result.CANCELLED)
 
     def attempt_over(
         self,
@@ -494,38 +509,42 @@
 
     # -- the far end answers
 
-    def _backward(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _backward(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         circuit = group.circuits[message.cic]
         leg = circuit.leg
         call = leg.call if leg is not None else None
-        if circuit.state not in (State.OUT, State.HELD) or call is None or leg is None:
+        if circuit.state not in (CircuitState.SEIZED, CircuitState.HELD) or call is None or leg is None:
             # Late for a call that was given up (RLC awaited: dropped), or a circuit the ends see differently.
-            if circuit.state is State.IDLE:
+            if circuit.state is CircuitState.IDLE:
                 self.supervision.reset_circuit(now, group, circuit)
             return
-        if circuit.state is State.OUT:
+        if circuit.state is CircuitState.SEIZED:
             for cic in leg.cics:
-                group.set(group.circuits[cic], State.HELD, leg)
+                group.set_state(group.circuits[cic], CircuitState.HELD, leg)
         if call.inc is None or call.stage is Stage.OVER or call.out is not leg:
             return
         kind = message.type
         if kind == isup.CPG and call.stage is Stage.PENDING:
             return  # progress before the address is complete says nothing yet
-        options = {k: v for k, v in message.parameters.items() if k in (isup.BACKWARD, isup.EVENT)}
+        options = {
+            k: v
+            for k, v in message.parameters.items()
+            if k in (isup.BACKWARD_INDICATORS, isup.EVENT_INFORMATION)
+        }
         stood = call.stage is Stage.PENDING
         if stood:
             self._stands(now, call)
             kind = isup.CON if kind == isup.ANM else kind
-            options.setdefault(isup.BACKWARD, isup.SUBSCRIBER_FREE)
+            options.setdefault(isup.BACKWARD_INDICATORS, isup.SUBSCRIBER_FREE)
         elif kind == isup.ACM:
             return
         elif kind == isup.CON:
             kind = isup.ANM
         if kind in (isup.ANM, isup.CPG):
-            options.pop(isup.BACKWARD, None)
+            options.pop(isup.BACKWARD_INDICATORS, None)
         if stood and call.inc.group.there in self.callers:
             # The caller's side may show its user the way: the next exchange and how many were tried.
-            options[isup.USER_TO_USER] = isup.user_words(via=leg.group.there, tries=call.attempt + 1)
+            options[isup.USER_TO_USER] = isup.encode_user_words(via=leg.group.there, tries=call.attempt + 1)
         if kind in (isup.ANM, isup.CON):
             if call.stage is Stage.ANSWERED:
                 return
@@ -533,7 +552,7 @@
             if call.timer is not None:
                 call.timer.cancel()
                 call.timer = None
-        self.send(call.inc.group.there, Isup(call.inc.cics[0], kind, options))
+        self.send(call.inc.group.there, IsupMessage(call.inc.cics[0], kind, options))
 
     def _stands(self, now: float, call: Call) -> None:
         assert call.out is not None
@@ -541,34 +560,38 @@
             call.timer.cancel()
         call.stage = Stage.STANDS
         call.iam = None
-        call.timer = self.timers.at(now + self.t.t9, self._unanswered, call)
+        call.timer = self.timers.schedule(now + self.timer_settings.t9, self._unanswered, call)
         self.finals["stands"] += 1
         self._log(call, "stands", after=round(now - call.sent, 1))
         if not call.local:
             office = call.out.group.there
-            self.events.append(i.Stands(call.ref, call.attempt, office, now - call.sent))
+            self.events.append(i.Established(call.ref, call.attempt, office, now - call.sent))
 
     def _unanswered(self, now: float, call: Call) -> None:
         if call.stage is Stage.STANDS:
             self._clear(now, call, causes.NO_ANSWER, i.Result.OK)
             self._run(now)
 
-    def _rel(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _rel(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         circuit = group.circuits[message.cic]
         leg = circuit.leg
-        self.send(group.there, Isup(message.cic, isup.RLC))
-        if leg is None or circuit.state in (State.RELEASING, State.RESETTING, State.DOWN):
+        self.send(group.there, IsupMessage(message.cic, isup.RLC))
+        if leg is None or circuit.state in (
+            CircuitState.RELEASING,
+            CircuitState.RESETTING,
+            CircuitState.DOWN,
+        ):
             return
         try:
-            cause, _ = isup.cause(message.parameters[isup.CAUSE])
-            code = message.parameters.get(isup.POINT_CODE)
-            source = isup.point_code(code) if code else group.there
+            cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
+            code = message.parameters.get(isup.SIGNALLING_POINT_CODE)
+            source = isup.decode_point_code(code) if code else group.there
         except MessageError:
-            cause, source = causes.UNSPECIFIED, group.there
-        words = isup.words(message.parameters.get(isup.USER_TO_USER))
-        if leg.glare and circuit.state is State.OUT:
+            cause, source = causes.NORMAL_UNSPECIFIED, group.there
+        words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
+        if leg.glare and circuit.state is CircuitState.SEIZED:
             # The far end released the call that lost, and has not seen ours: it is no answer to ours.
-            cause, source = causes.TEMPORARY, 0
+            cause, source = causes.TEMPORARY_FAILURE, 0
         self.free(leg)
         self._leg_ended(now, leg, cause, source, words.get("retry", 0))
 
@@ -587,7 +610,7 @@
             self.final(now, call, cause, 0, retry)
         else:
             call.cause, call.source = cause, source
-            direct = leg.group.there == self.exchanges.get(call.dest)
+            direct = leg.group.there == self.exchange_codes.get(call.dest)
             result, note, wait = outcomes.of_release(cause, source, leg.group.there, direct, float(retry))
             self.attempt_over(now, call, 0, result, note, wait)
 
@@ -616,13 +639,13 @@
         call = self.calls.get(action.ref)
         if call is None or call.stage is not Stage.PENDING:
             return
-        to = self.exchanges.get(call.dest)
+        to = self.exchange_codes.get(call.dest)
         group = self.groups.get(to) if to is not None else None
-        entry = self.roster.entries.get(to) if to is not None else None
+        entry = self.exchange_list.entries.get(to) if to is not None else None
         if type(action) is i.Fail:
-            cause = call.cause or causes.TEMPORARY
+            cause = call.cause or causes.TEMPORARY_FAILURE
         elif not call.cause and (entry is None or entry.readiness is not i.Readiness.READY):
-            cause = causes.OUT_OF_ORDER
+            cause = causes.DESTINATION_OUT_OF_ORDER
         else:
             cause = outcomes.of_refusal(call.cause, group.free if group else None)
         retry = int(action.retry_after) if type(action) is i.Refuse else 0
@@ -635,7 +658,7 @@
         self.finals["refused" if cause in outcomes.CONGESTION_LEVEL else "failed"] += 1
         self._log(call, "refused", cause=cause, retry=retry, reason=causes.name(cause))
         if call.inc is not None:
-            self.release(now, call.inc, cause, source or self.s.point_code, retry)
+            self.release(now, call.inc, cause, source or self.settings.point_code, retry)
             call.inc = None
         self.calls.pop(call.ref, None)
 
@@ -657,7 +680,7 @@
 
     def _last_office(self, call: Call) -> int:
         """The module finds the attempt by its number; its exchange is only named for the report."""
-        return self.exchanges.get(call.dest, -1)
+        return self.exchange_codes.get(call.dest, -1)
 
     def leg_lost(self, now: float, leg: Leg) -> None:
         """A leg was cut: association lost or circuit reset. Nothing can be sent on it."""
@@ -672,13 +695,13 @@
         elif leg is call.out and (call.stage is not Stage.PENDING or call.local):
             call.out = None
         if call.stage is not Stage.PENDING:
-            self._clear(now, call, causes.TEMPORARY, i.Result.RESET)
+            self._clear(now, call, causes.TEMPORARY_FAILURE, i.Result.RESET)
         elif not leg.outgoing:
-            self._caller_left(now, call, causes.TEMPORARY)
+            self._caller_left(now, call, causes.TEMPORARY_FAILURE)
         elif call.local:
-            self.final(now, call, causes.TEMPORARY)
+            self.final(now, call, causes.TEMPORARY_FAILURE)
         else:
-            call.cause, call.source = causes.TEMPORARY, 0
+            call.cause, call.source = causes.TEMPORARY_FAILURE, 0
             self.attempt_over(now, call, 0, i.Result.RESET)
 
     def _dual_seizure_lost(self, now: float, leg: Leg) -> None:
@@ -709,26 +732,28 @@
         if leg.group.there not in self.links:
             return
         for cic in leg.cics:
-            leg.group.set(leg.group.circuits[cic], State.RELEASING, leg)
-        leg.timer = self.timers.at(now + self.t.t1, self._t1, leg, cause, source, retry)
+            leg.group.set_state(leg.group.circuits[cic], CircuitState.RELEASING, leg)
+        leg.timer = self.timers.schedule(now + self.timer_settings.t1, self._t1, leg, cause, source, retry)
         self._send_rel(leg, cause, source, retry)
 
     def _send_rel(self, leg: Leg, cause: int, source: int, retry: int) -> None:
-        location = causes.TRANSIT if source else causes.LOCAL_NETWORK
-        parameters = {isup.CAUSE: isup.cause_indicators(cause, location)}
+        location = causes.LOCATION_TRANSIT if source else causes.LOCATION_LOCAL_NETWORK
+        parameters = {isup.CAUSE_INDICATORS: isup.encode_cause(cause, location)}
         level = outcomes.CONGESTION_LEVEL.get(cause)
         if level:
             parameters[isup.CONGESTION_LEVEL] = bytes((level,))
         if source:
-            parameters[isup.POINT_CODE] = isup.point_code_octets(source)
+            parameters[isup.SIGNALLING_POINT_CODE] = isup.encode_point_code(source)
         if retry:
-            parameters[isup.USER_TO_USER] = isup.user_words(retry=retry)
-        self.send(leg.group.there, Isup(leg.cics[0], isup.REL, parameters))
+            parameters[isup.USER_TO_USER] = isup.encode_user_words(retry=retry)
+        self.send(leg.group.there, IsupMessage(leg.cics[0], isup.REL, parameters))
 
     def _t1(self, now: float, leg: Leg, cause: int, source: int, retry: int) -> None:
-        if now - leg.released < self.t.t5:
+        if now - leg.released < self.timer_settings.t5:
             self._send_rel(leg, cause, source, retry)
-            leg.timer = self.timers.at(now + self.t.t1, self._t1, leg, cause, source, retry)
+            leg.timer = self.timers.schedule(
+                now + self.timer_settings.t1, self._t1, leg, cause, source, retry
+            )
             return
         for cic in leg.cics:
             self.supervision.reset_circuit(now, leg.group, leg.group.circuits[cic])
@@ -737,16 +762,16 @@
         if leg.timer is not None:
             leg.timer.cancel()
         for cic in leg.cics:
-            leg.group.set(leg.group.circuits[cic], State.IDLE)
+            leg.group.set_state(leg.group.circuits[cic], CircuitState.IDLE)
 
-    def _rlc(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _rlc(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         circuit = group.circuits[message.cic]
-        if circuit.state is State.RELEASING and circuit.leg is not None:
+        if circuit.state is CircuitState.RELEASING and circuit.leg is not None:
             self.free(circuit.leg)
-        elif circuit.state is State.RESETTING:
+        elif circuit.state is CircuitState.RESETTING:
             self.supervision.answered(group, message.cic)
 
-    def _through(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _through(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         """Messages of a standing call that are only passed on."""
         leg = group.circuits[message.cic].leg
         call = leg.call if leg is not None else None
@@ -754,9 +779,9 @@
             return
         other = call.inc if leg.outgoing else call.out
         if other is not None:
-            self.send(other.group.there, Isup(other.cics[0], message.type, dict(message.parameters)))
+            self.send(other.group.there, IsupMessage(other.cics[0], message.type, dict(message.parameters)))
 
-    def _ignored(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def _ignored(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         self.counts["confusion told"] += 1
         self.note("CFN received", group=group.name, cic=message.cic)
 
@@ -770,13 +795,13 @@
     def stop(self, now: float) -> None:
         """No new calls: every peer is told by CGB; pending calls go on to their answer."""
         self.stopping = True
-        self.note("stopping", pending=self.pending(), standing=len(self.calls) - self.pending())
+        self.note("stopping", pending=self.pending_count(), standing=len(self.calls) - self.pending_count())
         for code, group in self.groups.items():
             if code in self.links:
                 self.supervision.block_all(now, group)
         self._run(now)
 
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         return sum(call.stage is Stage.PENDING for call in self.calls.values())
 
     def release_all(self, now: float) -> None:
@@ -784,17 +809,17 @@
         for call in list(self.calls.values()):
             if call.stage is Stage.PENDING:
                 if call.out is not None:
-                    self.release(now, call.out, causes.TEMPORARY)
+                    self.release(now, call.out, causes.TEMPORARY_FAILURE)
                     call.out = None
-                self.final(now, call, causes.TEMPORARY)
+                self.final(now, call, causes.TEMPORARY_FAILURE)
                 self.events.append(i.CallerLeft(call.ref))
             elif call.stage is not Stage.OVER:
-                self._clear(now, call, causes.OUT_OF_ORDER, i.Result.OK)
+                self._clear(now, call, causes.DESTINATION_OUT_OF_ORDER, i.Result.OK)
         self._run(now)
 
-    def clear(self) -> bool:
+    def all_released(self) -> bool:
         """Whether no circuit of a standing association is taken any more."""
-        held = (State.OUT, State.HELD, State.IN, State.RELEASING)
+        held = (CircuitState.SEIZED, CircuitState.HELD, CircuitState.IN, CircuitState.RELEASING)
         return not self.calls and not any(
             circuit.state in held
             for code, group in self.groups.items()
@@ -804,10 +829,10 @@
 
     # -- out
 
-    def send(self, point_code: int, message: Isup) -> None:
+    def send(self, point_code: int, message: IsupMessage) -> None:
         link = self.links.get(point_code)
         if link is not None:
-            link.data(m3ua.SI_ISUP, message.cic & 15, isup.encode(message))
+            link.send_data(m3ua.SI_ISUP, message.cic & 15, isup.encode(message))
 
     def _log(self, call: Call, event: str, **fields: Any) -> None:
         if self.log is not None:
--- a/ospreybridge/core/changeover.py
+++ b/ospreybridge/core/changeover.py
@@ -11,53 +11,53 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ospreybridge.core.timers import Due, Timers
+from ospreybridge.core.timers import ScheduledTimer, TimerQueue
 
 LONGEST_HOLD = 1_000.0  # ms; an old association that does not answer for so long is as good as cut
-Told = Callable[[bool], None]
+HeartbeatCallback = Callable[[bool], None]
 
 
 class Carrier(Protocol):
     """One association as the path uses it."""
 
-    def carry(self, service: int, sls: int, body: bytes) -> None: ...
-    def mark(self, answered: Told) -> None: ...
-    def probe(self, told: Callable[[float, float | None], None]) -> None: ...
-    def audit(self) -> None: ...
-    def taken_over(self) -> None: ...
-    def leave(self, reason: str) -> None: ...
+    def send_data(self, service: int, sls: int, body: bytes) -> None: ...
+    def send_marker(self, answered: HeartbeatCallback) -> None: ...
+    def probe(self, on_result: Callable[[float, float | None], None]) -> None: ...
+    def request_audit(self) -> None: ...
+    def notify_alternate_active(self) -> None: ...
+    def shut_down(self, reason: str) -> None: ...
     def drop(self, reason: str) -> None: ...
 
 
-class Path:
+class PeerLink:
     """The call server's link to one peer; `lost(reason)` is called once, when calls on it can't stand."""
 
-    def __init__(self, timers: Timers, carrier: Carrier, lost: Callable[[str], None]) -> None:
+    def __init__(self, timers: TimerQueue, carrier: Carrier, lost: Callable[[str], None]) -> None:
         self.timers, self.current, self.on_lost = timers, carrier, lost
         self.successor: Carrier | None = None
         self.former: Carrier | None = None
         self.held: list[tuple[int, int, bytes]] = []
         self.far_moved = self.dialler = False
-        self.limit: Due | None = None
-        self.over = False
+        self.limit: ScheduledTimer | None = None
+        self.closed = False
 
     # -- the call server's link
 
-    def data(self, service: int, sls: int, body: bytes) -> None:
+    def send_data(self, service: int, sls: int, body: bytes) -> None:
         if self.successor is not None:
             self.held.append((service, sls, body))
         else:
-            self.current.carry(service, sls, body)
+            self.current.send_data(service, sls, body)
 
-    def beat(self, told: Callable[[float, float | None], None]) -> None:
-        self.current.probe(told)
+    def probe(self, on_result: Callable[[float, float | None], None]) -> None:
+        self.current.probe(on_result)
 
-    def audit(self) -> None:
-        self.current.audit()
+    def request_audit(self) -> None:
+        self.current.request_audit()
 
     # -- moving over
 
-    def move(self, now: float, successor: Carrier, dialler: bool) -> None:
+    def start_changeover(self, now: float, successor: Carrier, dialler: bool) -> None:
         """`successor` is active. The side that dialled leaves the old association when both have moved."""
         if self.successor is not None:
             # Of two moves at once the second waits for none: the first one's association is left.
@@ -67,26 +67,26 @@
             self.former.drop("another move begins")
         # `far_moved` may be told already: the old association can be quicker than the new one's ASPAC ACK.
         self.successor, self.former, self.dialler = successor, None, dialler
-        self.limit = self.timers.at(now + LONGEST_HOLD, self._too_long)
-        self.current.mark(lambda came: self._marked(successor) if came else None)
+        self.limit = self.timers.schedule(now + LONGEST_HOLD, self._too_long)
+        self.current.send_marker(lambda came: self._marked(successor) if came else None)
 
     def _marked(self, successor: Carrier) -> None:
         """All that was sent on the old association has arrived."""
-        if self.successor is not successor or self.over:
+        if self.successor is not successor or self.closed:
             return
         self._stop_limit()
         self.former, self.current, self.successor = self.current, successor, None
         if not self.dialler:
-            self.former.taken_over()
+            self.former.notify_alternate_active()
         self._flush()
         self._leave()
 
     def _flush(self) -> None:
         held, self.held = self.held, []
         for service, sls, body in held:
-            self.current.carry(service, sls, body)
+            self.current.send_data(service, sls, body)
 
-    def far_side_moved(self) -> None:
+    def peer_switched(self) -> None:
         """The far end sends nothing more on the old association."""
         self.far_moved = True
         self._leave()
@@ -94,7 +94,7 @@
     def _leave(self) -> None:
         if self.dialler and self.far_moved and self.former is not None and self.successor is None:
             former, self.former, self.far_moved = self.former, None, False
-            former.leave("moved over")
+            former.shut_down("moved over")
 
     def _too_long(self, now: float) -> None:
         self._lost("the old association did not answer while moving over")
@@ -106,9 +106,9 @@
 
     # -- ends
 
-    def ended(self, carrier: Carrier, reason: str) -> None:
+    def association_ended(self, carrier: Carrier, reason: str) -> None:
         """An association of this peer is down."""
-        if self.over:
+        if self.closed:
             return
         if carrier is self.successor:
             # The move failed before this side sent anything over it: the old one goes on.
@@ -122,7 +122,7 @@
             self.former = None
 
     def _lost(self, reason: str, ended: Carrier | None = None) -> None:
-        self.over = True
+        self.closed = True
         self._stop_limit()
         self.held = []
         for carrier in (self.successor, self.former, self.current):
--- a/ospreybridge/core/circuits.py
+++ b/ospreybridge/core/circuits.py
@@ -13,9 +13,9 @@
     from ospreybridge.core.calls import Leg
 
 
-class State(IntEnum):
+class CircuitState(IntEnum):
     IDLE = 0
-    OUT = 1  # seized by us, nothing came back yet: dual seizure is possible
+    SEIZED = 1  # seized by us, nothing came back yet: dual seizure is possible
     HELD = 2  # seized by us, the far end has answered something
     IN = 3  # seized by the far end
     RELEASING = 4  # REL sent, RLC awaited
@@ -28,7 +28,7 @@
 
     def __init__(self, cic: int) -> None:
         self.cic = cic
-        self.state = State.DOWN
+        self.state = CircuitState.DOWN
         self.near_blocked = self.far_blocked = False
         self.leg: Leg | None = None
 
@@ -55,18 +55,18 @@
         """The exchange with the higher point code controls the even circuits (Q.764, 2.9.1.4)."""
         return (self.here > self.there) == (cic % 2 == 0)
 
-    def set(self, circuit: Circuit, state: State, leg: Leg | None = None) -> None:
+    def set_state(self, circuit: Circuit, state: CircuitState, leg: Leg | None = None) -> None:
         circuit.state, circuit.leg = state, leg
         self._settle(circuit)
 
-    def block(self, circuit: Circuit, *, near: bool | None = None, far: bool | None = None) -> None:
-        circuit.near_blocked = circuit.near_blocked if near is None else near
-        circuit.far_blocked = circuit.far_blocked if far is None else far
+    def set_blocked(self, circuit: Circuit, *, local: bool | None = None, remote: bool | None = None) -> None:
+        circuit.near_blocked = circuit.near_blocked if local is None else local
+        circuit.far_blocked = circuit.far_blocked if remote is None else remote
         self._settle(circuit)
 
     def _settle(self, circuit: Circuit) -> None:
         idle = self.ours if self.controls(circuit.cic) else self.theirs
-        usable = circuit.state is State.IDLE and not circuit.near_blocked and not circuit.far_blocked
+        usable = circuit.state is CircuitState.IDLE and not circuit.near_blocked and not circuit.far_blocked
         if usable and circuit.cic not in idle:
             idle[circuit.cic] = None
             self.changed.add(self.there)
@@ -74,7 +74,7 @@
             del idle[circuit.cic]
             self.changed.add(self.there)
 
-    def choose(self, width: int) -> tuple[int, ...]:
+    def select(self, width: int) -> tuple[int, ...]:
         """Circuits for a call: ours that is idle longest, else theirs that is idle shortest (method 2).
 
         That order keeps dual seizure rare. A wide call takes neighbours if it can, else any of one multiplex
--- a/ospreybridge/core/roster.py
+++ b/ospreybridge/core/exchange_list.py
@@ -15,9 +15,9 @@
 INFO_WORDS = ("v", "start", "age", "of")
 
 
-def info_text(version: int, start: int, age: int, of: int = 0) -> str:
+def format_info(version: int, start: int, age: int, list_size: int = 0) -> str:
     text = f"v={version} start={start} age={age}"
-    return text + f" of={of}" if of else text
+    return text + f" of={list_size}" if list_size else text
 
 
 def _words(text: str) -> dict[str, int]:
--- a/ospreybridge/core/lateness.py
+++ b/ospreybridge/core/lateness.py
@@ -18,16 +18,16 @@
 
 class Lateness:
     def __init__(self) -> None:
-        self.worst, self.at = 0.0, 0.0
+        self.peak_ms, self.at = 0.0, 0.0
 
     def saw(self, now: float, late: float) -> None:
         """A timer ran `late` ms after its moment."""
         if LEAST < late < LONGEST:
-            self.worst, self.at = max(self._faded(now), late), now
+            self.peak_ms, self.at = max(self._faded(now), late), now
 
     def margin(self, now: float, patience: float, least: float) -> float:
         """What to keep of `patience` ms: at least the settings' margin, but never more than a tenth."""
         return min(max(least, TIMES * self._faded(now)), MOST * patience)
 
     def _faded(self, now: float) -> float:
-        return self.worst * math.pow(0.5, (now - self.at) / HALF_LIFE)
+        return self.peak_ms * math.pow(0.5, (now - self.at) / HALF_LIFE)
--- a/ospreybridge/core/outcomes.py
+++ b/ospreybridge/core/outcomes.py
@@ -8,22 +8,22 @@
 # cause: (result and note where the next hop itself says so, the same where it passes on another's word)
 _BY_CAUSE: dict[int, tuple[tuple[Result, Note], tuple[Result, Note]]] = {
     causes.NO_CIRCUIT: ((Result.FULL, Note.NO_CIRCUIT), (Result.FULL, Note.TURNED_BACK)),
-    causes.NOT_AVAILABLE: ((Result.FULL, Note.NO_CIRCUIT), (Result.FULL, Note.TURNED_BACK)),
+    causes.RESOURCE_UNAVAILABLE: ((Result.FULL, Note.NO_CIRCUIT), (Result.FULL, Note.TURNED_BACK)),
     causes.CONGESTION: ((Result.FULL, Note.PROCESSOR_FULL), (Result.FULL, Note.TURNED_BACK)),
-    causes.NO_ROUTE: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
-    causes.OUT_OF_ORDER: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
-    causes.NETWORK_DOWN: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
-    causes.TIMER: ((Result.TIMEOUT, Note.NONE), (Result.TIMEOUT, Note.NONE)),
-    causes.BUSY: ((Result.ERROR, Note.LINES_BUSY), (Result.ERROR, Note.LINES_BUSY)),
+    causes.NO_ROUTE_TO_DESTINATION: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
+    causes.DESTINATION_OUT_OF_ORDER: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
+    causes.NETWORK_OUT_OF_ORDER: ((Result.CONNECT_FAILED, Note.NONE), (Result.FULL, Note.TURNED_BACK)),
+    causes.TIMER_EXPIRY: ((Result.TIMEOUT, Note.NONE), (Result.TIMEOUT, Note.NONE)),
+    causes.USER_BUSY: ((Result.ERROR, Note.LINES_BUSY), (Result.ERROR, Note.LINES_BUSY)),
 }
 _ENDS = (
-    causes.UNALLOCATED,
-    causes.NORMAL,
-    causes.NO_USER,
+    causes.UNALLOCATED_NUMBER,
+    causes.NORMAL_CLEARING,
+    causes.NO_USER_RESPONDING,
     causes.NO_ANSWER,
-    causes.INVALID_NUMBER,
-    causes.UNSPECIFIED,
-    causes.BEARER,
+    causes.INVALID_NUMBER_FORMAT,
+    causes.NORMAL_UNSPECIFIED,
+    causes.BEARER_NOT_IMPLEMENTED,
 )
 _NO_WAIT_TOLD = 1.0  # ms: a full processor beyond the tandem that names no wait; 0 would read as "no circuit"
 
@@ -51,8 +51,8 @@
     if last:
         return last
     if free is None:
-        return causes.NO_ROUTE
+        return causes.NO_ROUTE_TO_DESTINATION
     return causes.NO_CIRCUIT if free == 0 else causes.CONGESTION
 
 
-CONGESTION_LEVEL = {causes.NO_CIRCUIT: 1, causes.NOT_AVAILABLE: 1, causes.CONGESTION: 2}
+CONGESTION_LEVEL = {causes.NO_CIRCUIT: 1, causes.RESOURCE_UNAVAILABLE: 1, causes.CONGESTION: 2}
--- a/ospreybridge/core/sessions.py
+++ b/ospreybridge/core/sessions.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-RESUMES = 16  # in a row before a full handshake shows certificate and possession of its key once more
+MAX_RESUMPTIONS = 16  # in a row before a full handshake shows certificate and possession of its key once more
 
 
-class Sessions:
+class SessionCache:
     """At most one session a peer, each used once (RFC 8446, C.4), none across another trust or identity."""
 
     def __init__(self, age: float) -> None:
@@ -16,9 +16,9 @@
         self.kept: dict[int, tuple[Any, float, str, int]] = {}
         self.rotated = 0.0
 
-    def keep(self, now: float, peer: int, session: Any, identity: str, resumed: int) -> None:
+    def store(self, now: float, peer: int, session: Any, identity: str, resumed: int) -> None:
         """`identity`: names of both sides and digest of the set; `resumed`: resumptions since a full one."""
-        if session is not None and self.age > 0 and resumed < RESUMES:
+        if session is not None and self.age > 0 and resumed < MAX_RESUMPTIONS:
             self.kept[peer] = (session, now, identity, resumed)
 
     def take(self, now: float, peer: int, identity: str) -> tuple[Any, int]:
@@ -28,12 +28,12 @@
             return None, 0
         return session, resumed + 1
 
-    def replaced(self, now: float) -> None:
+    def key_set_replaced(self, now: float) -> None:
         """A new set is in use: no session outlives the old one, and the ticket keys are new with it."""
         self.kept.clear()
         self.rotated = now
 
-    def rotate(self, now: float) -> bool:
+    def rotate_if_due(self, now: float) -> bool:
         """Whether the keys that protect tickets are due for a change; counts as changed then."""
         if now - self.rotated < self.age:
             return False
--- a/ospreybridge/core/supervision.py
+++ b/ospreybridge/core/supervision.py
@@ -6,21 +6,21 @@
 
 from ospreybridge import interface as i
 from ospreybridge.core.calls import Call, Leg, Stage
-from ospreybridge.core.circuits import Circuit, State, TrunkGroup, runs
-from ospreybridge.core.timers import Due, Timers
-from ospreybridge.settings.server import Timers as Times
+from ospreybridge.core.circuits import Circuit, CircuitState, TrunkGroup, runs
+from ospreybridge.core.timers import ScheduledTimer, TimerQueue
+from ospreybridge.settings.server import TimerSettings as Times
 from ospreybridge.signalling import causes, isup
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 
 class Host(Protocol):
     """What supervision asks of the call server: to send, and to end what a reset or a blocking has met."""
 
     links: dict[int, Any]
-    timers: Timers
-    t: Times
+    timers: TimerQueue
+    timer_settings: Times
 
-    def send(self, point_code: int, message: Isup) -> None: ...
+    def send(self, point_code: int, message: IsupMessage) -> None: ...
     def leg_lost(self, now: float, leg: Leg) -> None: ...
     def release(self, now: float, leg: Leg, cause: int) -> None: ...
     def free(self, leg: Leg) -> None: ...
@@ -34,13 +34,13 @@
 class Supervision:
     def __init__(self, server: Host) -> None:
         self.server = server
-        self.resets: dict[tuple[int, int], Due] = {}  # GRS or RSC awaiting its answer
-        self.blocks: dict[tuple[int, int, int], Due] = {}  # BLO, UBL, CGB, CGU awaiting theirs
+        self.resets: dict[tuple[int, int], ScheduledTimer] = {}  # GRS or RSC awaiting its answer
+        self.blocks: dict[tuple[int, int, int], ScheduledTimer] = {}  # BLO, UBL, CGB, CGU awaiting theirs
 
     def link_up(self, now: float, group: TrunkGroup) -> None:
         """Nothing is known of the circuits until the far end has reset them."""
         for circuit in group.circuits.values():
-            group.set(circuit, State.RESETTING)
+            group.set_state(circuit, CircuitState.RESETTING)
         for first, count in runs(list(group.circuits)):
             self.reset(now, group, first, count)
 
@@ -55,19 +55,19 @@
         due = self.resets.pop((group.there, cic), None)
         if due is not None:
             due.cancel()
-            group.set(group.circuits[cic], State.IDLE)
+            group.set_state(group.circuits[cic], CircuitState.IDLE)
 
     def reset_circuit(self, now: float, group: TrunkGroup, circuit: Circuit) -> None:
         """RSC: both ends take the circuit as idle afterwards; a call on it is lost."""
         leg = circuit.leg
         if leg is not None:
             for cic in leg.cics:
-                group.set(group.circuits[cic], State.RESETTING)
+                group.set_state(group.circuits[cic], CircuitState.RESETTING)
             self.server.leg_lost(now, leg)
             for cic in leg.cics:
                 self.reset(now, group, cic, 1)
         else:
-            group.set(circuit, State.RESETTING)
+            group.set_state(circuit, CircuitState.RESETTING)
             self.reset(now, group, circuit.cic, 1)
 
     def reset(self, now: float, group: TrunkGroup, first: int, count: int) -> None:
@@ -78,18 +78,21 @@
         if group.there not in self.server.links:
             return
         if count == 1:
-            self.server.send(group.there, Isup(first, isup.RSC))
+            self.server.send(group.there, IsupMessage(first, isup.RSC))
         else:
             self.server.send(
-                group.there, Isup(first, isup.GRS, {isup.RANGE_STATUS: isup.range_octets(count)})
+                group.there,
+                IsupMessage(first, isup.GRS, {isup.RANGE_STATUS: isup.encode_range_status(count)}),
             )
-        wait = self.server.t.t16 if count == 1 else self.server.t.t22
-        self.resets[group.there, first] = self.server.timers.at(now + wait, self.reset, group, first, count)
+        wait = self.server.timer_settings.t16 if count == 1 else self.server.timer_settings.t22
+        self.resets[group.there, first] = self.server.timers.schedule(
+            now + wait, self.reset, group, first, count
+        )
 
-    def rsc(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def rsc(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         circuit = group.circuits[message.cic]
         self.taken_as_idle(now, group, circuit)
-        self.server.send(group.there, Isup(message.cic, isup.RLC))
+        self.server.send(group.there, IsupMessage(message.cic, isup.RLC))
         if circuit.near_blocked:
             self.block(now, group, message.cic, isup.BLO)
 
@@ -98,14 +101,14 @@
         # Without an RSC or GRS of ours on the way, the circuit is idle at once; else when that is answered.
         cics = leg.cics if leg is not None else (circuit.cic,)
         for cic in cics:
-            if group.circuits[cic].state is not State.RESETTING:
-                group.set(group.circuits[cic], State.IDLE)
-        group.block(circuit, far=False)
+            if group.circuits[cic].state is not CircuitState.RESETTING:
+                group.set_state(group.circuits[cic], CircuitState.IDLE)
+        group.set_blocked(circuit, remote=False)
         if leg is not None:
             self.server.leg_lost(now, leg)
 
-    def grs(self, now: float, group: TrunkGroup, message: Isup) -> None:
-        count, _ = isup.range_status(message.parameters[isup.RANGE_STATUS])
+    def grs(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for cic in range(message.cic, message.cic + count):
             if cic in group.circuits:
                 self.taken_as_idle(now, group, group.circuits[cic])
@@ -113,36 +116,38 @@
             cic in group.circuits and group.circuits[cic].near_blocked
             for cic in range(message.cic, message.cic + count)
         ]
-        octets = isup.range_octets(count, blocked)
-        self.server.send(group.there, Isup(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
+        octets = isup.encode_range_status(count, blocked)
+        self.server.send(group.there, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
 
-    def gra(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def gra(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         due = self.resets.pop((group.there, message.cic), None)
         if due is None:
             return
         due.cancel()
-        count, status = isup.range_status(message.parameters[isup.RANGE_STATUS])
+        count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for at in range(count):
             circuit = group.circuits.get(message.cic + at)
-            if circuit is not None and circuit.state is State.RESETTING:
-                group.set(circuit, State.IDLE)
-                group.block(circuit, far=at < len(status) and status[at])
+            if circuit is not None and circuit.state is CircuitState.RESETTING:
+                group.set_state(circuit, CircuitState.IDLE)
+                group.set_blocked(circuit, remote=at < len(status) and status[at])
 
     def block(self, now: float, group: TrunkGroup, cic: int, kind: int) -> None:
         """BLO or UBL of one circuit, repeated until it is acknowledged."""
-        group.block(group.circuits[cic], near=kind == isup.BLO)
-        self.server.send(group.there, Isup(cic, kind))
+        group.set_blocked(group.circuits[cic], local=kind == isup.BLO)
+        self.server.send(group.there, IsupMessage(cic, kind))
         key = (group.there, cic, kind)
         # An unacknowledged BLO must not block once more after an operator's UBL, nor the other way round.
         for one in (isup.BLO, isup.UBL):
             waiting = self.blocks.pop((group.there, cic, one), None)
             if waiting is not None:
                 waiting.cancel()
-        self.blocks[key] = self.server.timers.at(now + self.server.t.t12, self.block, group, cic, kind)
+        self.blocks[key] = self.server.timers.schedule(
+            now + self.server.timer_settings.t12, self.block, group, cic, kind
+        )
 
     def block_all(self, now: float, group: TrunkGroup) -> None:
         for circuit in group.circuits.values():
-            group.block(circuit, near=True)
+            group.set_blocked(circuit, local=True)
         for first, count in runs(list(group.circuits)):
             self.block_range(now, group, first, count)
 
@@ -152,46 +157,51 @@
         if count == 1:
             self.block(now, group, first, isup.BLO)
             return
-        octets = isup.range_octets(count, [True] * count)
-        given = {isup.SUPERVISION: isup.MAINTENANCE, isup.RANGE_STATUS: octets}
-        self.server.send(group.there, Isup(first, isup.CGB, given))
+        octets = isup.encode_range_status(count, [True] * count)
+        given = {isup.GROUP_SUPERVISION: isup.MAINTENANCE_ORIENTED, isup.RANGE_STATUS: octets}
+        self.server.send(group.there, IsupMessage(first, isup.CGB, given))
         key = (group.there, first, isup.CGB)
-        self.blocks[key] = self.server.timers.at(
-            now + self.server.t.t12, self.block_range, group, first, count
+        self.blocks[key] = self.server.timers.schedule(
+            now + self.server.timer_settings.t12, self.block_range, group, first, count
         )
 
-    def blocking(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         on = message.type == isup.BLO
         circuit = group.circuits[message.cic]
-        group.block(circuit, far=on)
-        self.server.send(group.there, Isup(message.cic, isup.BLA if on else isup.UBA))
+        group.set_blocked(circuit, remote=on)
+        self.server.send(group.there, IsupMessage(message.cic, isup.BLA if on else isup.UBA))
         self.seized_meanwhile(now, circuit)
 
     def seized_meanwhile(self, now: float, circuit: Circuit) -> None:
         """A set-up that met a blocking without an answer yet is given up and goes another way (2.8.2.1)."""
         leg = circuit.leg
-        if circuit.far_blocked and circuit.state is State.OUT and leg is not None and leg.call is not None:
+        if (
+            circuit.far_blocked
+            and circuit.state is CircuitState.SEIZED
+            and leg is not None
+            and leg.call is not None
+        ):
             call = leg.call
             if call.local:
-                self.server.release(now, leg, causes.NORMAL)
+                self.server.release(now, leg, causes.NORMAL_CLEARING)
                 call.out = None
-                self.server.final(now, call, causes.OUT_OF_ORDER)
+                self.server.final(now, call, causes.DESTINATION_OUT_OF_ORDER)
             elif call.stage is Stage.PENDING:
                 call.cause, call.source = causes.NO_CIRCUIT, 0
-                self.server.attempt_over(now, call, causes.NORMAL, i.Result.CANCELLED)
+                self.server.attempt_over(now, call, causes.NORMAL_CLEARING, i.Result.CANCELLED)
 
-    def group_blocking(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def group_blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         on = message.type == isup.CGB
-        count, status = isup.range_status(message.parameters[isup.RANGE_STATUS])
+        count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for at in range(count):
             circuit = group.circuits.get(message.cic + at)
             if circuit is not None and at < len(status) and status[at]:
-                group.block(circuit, far=on)
+                group.set_blocked(circuit, remote=on)
                 self.seized_meanwhile(now, circuit)
         kind = isup.CGBA if on else isup.CGUA
-        self.server.send(group.there, Isup(message.cic, kind, dict(message.parameters)))
+        self.server.send(group.there, IsupMessage(message.cic, kind, dict(message.parameters)))
 
-    def blocked(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def blocked(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         kind = {isup.BLA: isup.BLO, isup.UBA: isup.UBL, isup.CGBA: isup.CGB, isup.CGUA: isup.CGU}[
             message.type
         ]
@@ -199,13 +209,13 @@
         if due is not None:
             due.cancel()
 
-    def unequipped(self, now: float, group: TrunkGroup, message: Isup) -> None:
+    def unequipped(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
         """UCIC: the far end does not know this circuit; it is taken out of service and the call goes on."""
         circuit = group.circuits[message.cic]
         self.server.note("circuit not equipped", group=group.name, cic=message.cic)
         leg = circuit.leg
-        group.block(circuit, far=True)
-        if leg is not None and leg.call is not None and circuit.state is State.OUT:
+        group.set_blocked(circuit, remote=True)
+        if leg is not None and leg.call is not None and circuit.state is CircuitState.SEIZED:
             call = leg.call
             self.server.free(leg)
             leg.call = None
--- a/ospreybridge/core/timers.py
+++ b/ospreybridge/core/timers.py
@@ -10,7 +10,7 @@
 from ospreybridge.core.lateness import Lateness
 
 
-class Due:
+class ScheduledTimer:
     """One armed timer. `cancel` is cheap: the heap forgets it when its time comes."""
 
     __slots__ = ("args", "call")
@@ -23,24 +23,24 @@
         self.call, self.args = None, ()
 
 
-class Timers:
+class TimerQueue:
     def __init__(self) -> None:
         self.lateness = Lateness()
-        self.heap: list[tuple[float, int, Due]] = []
+        self.heap: list[tuple[float, int, ScheduledTimer]] = []
         self.order = count()  # timers of one moment run in the order in which they were armed
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> Due:
+    def schedule(self, when: float, call: Callable[..., None], *args: Any) -> ScheduledTimer:
         """`call(now, *args)` at `when`, in milliseconds of the clock that `run` is given."""
-        due = Due(call, args)
+        due = ScheduledTimer(call, args)
         heapq.heappush(self.heap, (when, next(self.order), due))
         return due
 
-    def next(self) -> float | None:
+    def next_due(self) -> float | None:
         while self.heap and self.heap[0][2].call is None:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
-    def run(self, now: float) -> None:
+    def run_due(self, now: float) -> None:
         heap = self.heap
         if heap and heap[0][0] < now:
             self.lateness.saw(now, now - heap[0][0])
--- a/ospreybridge/daemon/daemon.py
+++ b/ospreybridge/daemon/daemon.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 
 from ospreybridge.core.callserver import CallServer
-from ospreybridge.fronts.m3ua import Front, Recorder
-from ospreybridge.net.loop import Loop, Task
-from ospreybridge.settings.faults import SettingsError
-from ospreybridge.settings.server import Server, load
+from ospreybridge.fronts.m3ua import M3uaFront, Recorder
+from ospreybridge.net.loop import EventLoop, Task
+from ospreybridge.settings.errors import SettingsError
+from ospreybridge.settings.server import ServerSettings, load
 
 Log = Callable[..., None]
 # What a reload may change; the rest is the identity of the server and needs a restart.
@@ -31,15 +31,15 @@
 
 class Daemon:
     def __init__(
-        self, settings: Server, log: Log, calls: bool = False, record: Recorder | None = None
+        self, settings: ServerSettings, log: Log, calls: bool = False, record: Recorder | None = None
     ) -> None:
         self.s, self.log = settings, log
-        self.loop = Loop()
-        self.loop.failed = lambda name, error: log(
+        self.loop = EventLoop()
+        self.loop.on_task_error = lambda name, error: log(
             "task failed", task=name, error=repr(error), exc_info=error
         )
         self.core = CallServer(settings, self.loop.timers, log if calls else self._quiet)
-        self.front = Front(self.loop, settings, self.core, log, record)
+        self.front = M3uaFront(self.loop, settings, self.core, log, record)
         self.exit_code = 0
 
     def _quiet(self, event: str, **given: object) -> None:
@@ -76,30 +76,30 @@
     def _stopping(self) -> Task:
         """Pending calls are answered, then what stands is released, then the associations are left."""
         begun, within = self.loop.now, self.s.stop_within
-        while self.core.pending() and self.loop.now - begun < RELEASE_SHARE * within:
+        while self.core.pending_count() and self.loop.now - begun < RELEASE_SHARE * within:
             yield "sleep", 10.0
         self.core.release_all(self.loop.now)
-        while not self.core.clear() and self.loop.now - begun < 0.95 * within:
+        while not self.core.all_released() and self.loop.now - begun < 0.95 * within:
             yield "sleep", 10.0
-        if not self.core.clear():
+        if not self.core.all_released():
             self.log("circuits not released by the far end in time")
-        self.front.leave()
+        self.front.shut_down()
         self.loop.running = False
 
     def reload(self) -> None:
         """Takes keys and the tables of the file anew, or says why not and keeps the old ones."""
-        if self.front.keys is not None:
-            self.front.look_at_keys(self.front.keys, force=True)
+        if self.front.credentials is not None:
+            self.front.check_credentials(self.front.credentials, force=True)
         try:
             new = load(Path(self.s.path))
         except SettingsError as error:
-            self.log("reload refused", faults=error.faults)
+            self.log("reload refused", faults=error.errors)
             return
-        changed = [f.name for f in fields(Server) if getattr(new, f.name) != getattr(self.s, f.name)]
+        changed = [f.name for f in fields(ServerSettings) if getattr(new, f.name) != getattr(self.s, f.name)]
         fixed = [name for name in changed if name not in RELOADABLE]
         if fixed:
             self.log("reload refused", faults=[f"{name} can't change without a restart" for name in fixed])
             return
-        self.s = self.core.s = self.front.s = new
-        self.core.t = new.timers
+        self.s = self.core.settings = self.front.settings = new
+        self.core.timer_settings = new.timers
         self.log("reloaded", changed=changed)
--- a/ospreybridge/daemon/platform.py
+++ b/ospreybridge/daemon/platform.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from ospreybridge.fronts.access import Front
-from ospreybridge.net.loop import Loop, Task
-from ospreybridge.settings.faults import SettingsError
+from ospreybridge.net.loop import EventLoop, Task
+from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.platform import Platform, load
 
 Log = Callable[..., None]
@@ -21,8 +21,8 @@
 class PlatformDaemon:
     def __init__(self, platform: Platform, log: Log, calls: bool = False) -> None:
         self.p, self.log = platform, log
-        self.loop = Loop()
-        self.loop.failed = lambda name, error: log(
+        self.loop = EventLoop()
+        self.loop.on_task_error = lambda name, error: log(
             "task failed", task=name, error=repr(error), exc_info=error
         )
         unix = time.time() * 1_000.0 - self.loop.now
@@ -54,7 +54,7 @@
                 standing=len(core.standing),
                 clients=len(core.clients),
                 links=len(core.linked),
-                late=round(self.loop.timers.lateness.worst, 1),
+                late=round(self.loop.timers.lateness.peak_ms, 1),
                 finals=dict(core.finals),
                 counts=dict(core.counts),
                 offices=core.beliefs(self.loop.now),
@@ -74,7 +74,7 @@
         try:
             new = load(Path(self.p.path))
         except SettingsError as error:
-            self.log("reload refused", faults=error.faults)
+            self.log("reload refused", faults=error.errors)
             return
         self.log("reloaded", journal="{}:{}".format(*new.journal))
         self.front.reload(new)
--- a/ospreybridge/fronts/access.py
+++ b/ospreybridge/fronts/access.py
@@ -10,7 +10,7 @@
 from ospreybridge.access.feed import DIAL_WITHIN, Feed
 from ospreybridge.access.server import Server
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import READ, Loop, Task, Trap
+from ospreybridge.net.loop import READ, EventLoop, Task, WaitRequest
 from ospreybridge.settings.platform import Address, Platform
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.errors import FrameError
@@ -26,7 +26,7 @@
 class Front:
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         platform: Platform,
         unix: float,
         log: Callable[..., None] | None = None,
@@ -40,7 +40,7 @@
         self.dialling: set[int] = set()  # connections being opened and still wanted
         self.udp: socket.socket | None = None
         self.core = Server(platform, loop.timers, self, loop.now, unix, log, trace)
-        self.listener = tcp.listening(platform.listen)
+        self.listener = tcp.listen(platform.listen)
         self.port = int(self.listener.getsockname()[1])
         if platform.peer_listen is not None:
             self.udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -52,7 +52,7 @@
         self.moved = 0  # how often the journal service has got another address
         loop.spawn(self._feeding())
         loop.spawn(self._watching())
-        loop.spawn(tcp.accepting(loop, self.listener, self._accepted))
+        loop.spawn(tcp.accept_connections(loop, self.listener, self._accepted))
 
     # -- clients
 
@@ -73,8 +73,8 @@
                 self.core.client_line(self.loop.now, conn, line)
                 if conn not in self.streams:
                     return
-            if splitter.broken:
-                self.core.client_broken(self.loop.now, conn, splitter.broken)
+            if splitter.error:
+                self.core.client_broken(self.loop.now, conn, splitter.error)
                 return
         stream.close("the client closed")
 
@@ -93,7 +93,7 @@
         within = self.p.settings.limits.dial_timeout or DIAL_WITHIN
         yield "sleep", 0.0  # the core is in the middle of a step
         try:
-            sock = yield from tcp.dial(self.loop, address, within)
+            sock = yield from tcp.connect(self.loop, address, within)
         except OSError as error:
             refused = error.errno == errno.ECONNREFUSED
             self.dialling.discard(conn)
@@ -108,15 +108,15 @@
         self.core.link_opened(self.loop.now, conn)
         yield from self._office(conn, stream)
 
-    def _office(self, conn: int, stream: tcp.Stream) -> Generator[Trap, None, None]:
+    def _office(self, conn: int, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
         splitter = jsonl.Splitter()
         while data := (yield from stream.read()):
             for line in splitter.feed(data):
                 self.core.link_line(self.loop.now, conn, line)
                 if conn not in self.streams:
                     return
-            if splitter.broken:
-                stream.close(splitter.broken)
+            if splitter.error:
+                stream.close(splitter.error)
                 return
         stream.close("the office closed")
 
@@ -137,7 +137,7 @@
             self.dialling.discard(conn)
             return
         stream.flush()
-        words = conn in self.callers and stream.wrote and not stream.closed
+        words = conn in self.callers and stream.has_written and not stream.closed
         if words and self.lingering < MOST_LINGERING:
             # Octets left unread would turn the close into a reset, which may destroy what was just written.
             # An office's connection closes at once: until then its set-ups count as out.
@@ -151,11 +151,11 @@
 
     def _lingering(self, stream: tcp.Stream, reason: str) -> Task:
         self.lingering += 1
-        end = self.loop.timers.at(self.loop.now + LINGERS, lambda now: stream.close(reason))
+        end = self.loop.timers.schedule(self.loop.now + LINGERS, lambda now: stream.close(reason))
         drained = 0
         try:
             with contextlib.suppress(OSError):
-                if not stream.out:
+                if not stream.unsent:
                     stream.sock.shutdown(socket.SHUT_WR)
             while drained < MOST_DRAINED and (data := (yield from stream.read())):
                 drained += len(data)
@@ -185,7 +185,7 @@
         while True:
             moved = self.moved
             try:
-                sock = yield from tcp.dial(self.loop, self.p.journal, DIAL_WITHIN)
+                sock = yield from tcp.connect(self.loop, self.p.journal, DIAL_WITHIN)
                 stream = self.feeding = tcp.Stream(self.loop, sock)
                 self.feed.opened(self.loop.now)
                 yield from self._events(stream)
@@ -195,18 +195,18 @@
             if moved == self.moved:
                 yield "sleep", self.feed.pause()
 
-    def _events(self, stream: tcp.Stream) -> Generator[Trap, None, None]:
+    def _events(self, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
         splitter = frames.Splitter()
-        stream.write(frames.ASK.pack(self.core.offices.last))
+        stream.write(frames.REQUEST.pack(self.core.offices.last))
         while data := (yield from stream.read()):
             try:
                 for frame in splitter.feed(data):
                     self.core.news(self.loop.now, frame)
                     self.feed.frame(self.loop.now)
             except FrameError as error:
-                splitter.broken = str(error)
-            if splitter.broken:
-                self._note("journal service unreadable", reason=splitter.broken)
+                splitter.error = str(error)
+            if splitter.error:
+                self._note("journal service unreadable", reason=splitter.error)
                 break
         stream.close("asked anew")
 
--- a/ospreybridge/interface.py
+++ b/ospreybridge/interface.py
@@ -17,7 +17,7 @@
     SINGLE_SHOT = "single_shot"
 
 
-class Group(Enum):
+class RetryScope(Enum):
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
@@ -69,9 +69,9 @@
     width: float = 1.0
     hold: float = 0.0
     semantics: Semantics = Semantics.FREE
-    group: Group = Group.ALL
-    window: float = 0.0
-    cells: tuple[int, ...] = ()
+    retry_scope: RetryScope = RetryScope.ALL
+    retry_window: float = 0.0
+    allowed_pools: tuple[int, ...] = ()
     name: str = ""
 
 
@@ -93,7 +93,7 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     cancel: bool = False
-    most_tries: int = 1
+    max_tries: int = 1
     probes: bool = False
     peer_messages: bool = False
     retry_after: bool = False
@@ -119,15 +119,15 @@
     tenants: tuple[Tenant, ...] = ()
     layout: Layout = Layout.MESH
     discovery: Discovery = Discovery.AUTOMATIC
-    here: int = -1
-    me: int = 0
-    peers: int = 1
+    own_exchange: int = -1
+    server_index: int = 0
+    server_count: int = 1
     zone: int = 0
     tick: float = 0.0
     over_share_worth: float = 1.0
-    marks_retry: bool = False
-    tells_wait: bool = False
-    advice: bool = False
+    redials_marked: bool = False
+    reports_wait: bool = False
+    route_advice: bool = False
     goal: Goal = field(default_factory=Goal)
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
@@ -150,10 +150,10 @@
 @dataclass(frozen=True, slots=True)
 class Entry:
     office: int
-    cell: int
+    exchange: int
     zone: int = 0
     readiness: Readiness = Readiness.READY
-    started: float = 0.0
+    started_at: float = 0.0
     kind: int = 0
     weight: float = 1.0
 
@@ -168,25 +168,25 @@
 @dataclass(frozen=True, slots=True)
 class Request:
     ref: int
-    cls: int
+    class_index: int
     dest: int
     expires: float
     width: float = 1.0
     tenant: int = 0
     via: int = -1
-    number: int = 0
+    called_number: int = 0
     work: float = 0.0
-    again: bool = False
+    redial: bool = False
     transit: bool = False
-    cut: bool = False
+    after_cut: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class Established:
     ref: int
     attempt: int
     office: int
-    took: float
+    elapsed: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,10 +195,10 @@
     attempt: int
     office: int
     result: Result
-    took: float = 0.0
-    ended: bool = False
+    elapsed: float = 0.0
+    call_ended: bool = False
     note: Note = Note.NONE
-    wait: float = 0.0
+    retry_after: float = 0.0
     report: Report | None = None
 
 
@@ -206,7 +206,7 @@
 class Probed:
     office: int
     result: Result
-    took: float = 0.0
+    elapsed: float = 0.0
     report: Report | None = None
 
 
@@ -216,24 +216,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerExpired:
     label: int
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
+class PeerMessage:
     sender: int
     body: bytes
 
 
-Event = Members | Request | Stands | Outcome | Probed | CallerLeft | Timer | Peer
+Event = Members | Request | Established | Outcome | Probed | CallerLeft | TimerExpired | PeerMessage
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     ref: int
     office: int
-    max_wait: float
+    timeout: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -254,14 +254,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remind:
+class StartTimer:
     label: int
-    after: float
+    delay: float
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
-    want: bool
+class Subscribe:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -275,7 +275,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class NotifyPeers:
     peer: int | None
     body: bytes
 
@@ -290,4 +290,6 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Remind | Follow | Lookup | Probe | Tell | Close | Remark
+Action = (
+    Send | Refuse | Fail | Cancel | StartTimer | Subscribe | Lookup | Probe | NotifyPeers | Close | Remark
+)
--- a/ospreybridge/keys/authority.py
+++ b/ospreybridge/keys/authority.py
@@ -18,11 +18,11 @@
 )
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from ospreybridge.keys.facts import DIALS, SERVES
+from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH
 
 PrivateKey = ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey
-AUTHORITY, LIST = "ca", "ca.crl"
-_USAGE = {SERVES: ExtendedKeyUsageOID.SERVER_AUTH, DIALS: ExtendedKeyUsageOID.CLIENT_AUTH}
+CA_FILE_STEM, LIST = "ca", "ca.crl"
+_USAGE = {SERVER_AUTH: ExtendedKeyUsageOID.SERVER_AUTH, CLIENT_AUTH: ExtendedKeyUsageOID.CLIENT_AUTH}
 
 
 def _subject(name: str) -> x509.Name:
@@ -43,13 +43,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Authority:
+class CertificateAuthority:
     folder: Path
     certificate: x509.Certificate
     key: ec.EllipticCurvePrivateKey
 
     @classmethod
-    def make(cls, folder: Path, days: float, name: str = "ospreybridge test authority") -> Authority:
+    def create(
+        cls, folder: Path, days: float, name: str = "ospreybridge test authority"
+    ) -> CertificateAuthority:
         folder.mkdir(parents=True, exist_ok=True)
         key = ec.generate_private_key(ec.SECP256R1())
         begin = datetime.now(UTC) - timedelta(hours=1)
@@ -68,16 +70,16 @@
             .sign(key, hashes.SHA256())
         )
         made = cls(folder, certificate, key)
-        write(folder / f"{AUTHORITY}.key", _pem(key), private=True)
-        write(folder / f"{AUTHORITY}.crt", certificate.public_bytes(Encoding.PEM))
-        made.revoke([])
+        write(folder / f"{CA_FILE_STEM}.key", _pem(key), private=True)
+        write(folder / f"{CA_FILE_STEM}.crt", certificate.public_bytes(Encoding.PEM))
+        made.write_revocation_list([])
         return made
 
     @classmethod
-    def open(cls, folder: Path) -> Authority:
+    def open(cls, folder: Path) -> CertificateAuthority:
         """OSError or ValueError where the folder holds no test authority."""
-        certificate = x509.load_pem_x509_certificate((folder / f"{AUTHORITY}.crt").read_bytes())
-        key = load_pem_private_key((folder / f"{AUTHORITY}.key").read_bytes(), None)
+        certificate = x509.load_pem_x509_certificate((folder / f"{CA_FILE_STEM}.crt").read_bytes())
+        key = load_pem_private_key((folder / f"{CA_FILE_STEM}.key").read_bytes(), None)
         if not isinstance(key, ec.EllipticCurvePrivateKey):
             raise ValueError("the authority's key is not the kind that this command makes")
         return cls(folder, certificate, key)
@@ -88,7 +90,7 @@
         names: list[str],
         days: float = 90.0,
         begins: float = -1 / 24,
-        purposes: tuple[str, ...] = (SERVES, DIALS),
+        purposes: tuple[str, ...] = (SERVER_AUTH, CLIENT_AUTH),
         rsa_bits: int = 0,
         common: str = "",
     ) -> x509.Certificate:
@@ -119,11 +121,11 @@
         write(self.folder / f"{file}.crt", certificate.public_bytes(Encoding.PEM))
         return certificate
 
-    def revoked(self) -> list[int]:
+    def revoked_serials(self) -> list[int]:
         known = x509.load_pem_x509_crl((self.folder / LIST).read_bytes())
         return [entry.serial_number for entry in known]
 
-    def revoke(self, serials: list[int], days: float = 30.0) -> None:
+    def write_revocation_list(self, serials: list[int], days: float = 30.0) -> None:
         """Writes the list anew with exactly these serial numbers."""
         now = datetime.now(UTC)
         builder = (
--- a/ospreybridge/keys/facts.py
+++ b/ospreybridge/keys/certificate_info.py
@@ -9,23 +9,23 @@
 from cryptography.hazmat.primitives.asymmetric import dsa, ec, ed448, ed25519, rsa
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
-SERVES, DIALS = "server", "client"  # the two purposes of RFC 5280, 4.2.1.12 that a link asks for
-_PURPOSES = {ExtendedKeyUsageOID.SERVER_AUTH: SERVES, ExtendedKeyUsageOID.CLIENT_AUTH: DIALS}
+SERVER_AUTH, CLIENT_AUTH = "server", "client"  # the two purposes of RFC 5280, 4.2.1.12 that a link asks for
+_PURPOSES = {ExtendedKeyUsageOID.SERVER_AUTH: SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH: CLIENT_AUTH}
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class CertificateInfo:
     """`names`: DNS names of the SAN, lower case; times in seconds since 1970; `bits` of the public key."""
 
-    names: tuple[str, ...]
+    dns_names: tuple[str, ...]
     issuer: bytes
     serial: int
     not_before: float
     not_after: float
-    key: str  # RSA, EC, Ed25519, Ed448, DSA, other
-    bits: int
+    key_type: str  # RSA, EC, Ed25519, Ed448, DSA, other
+    key_bits: int
     purposes: frozenset[str]  # both where the certificate names no extended key usage
-    authority: bool
+    is_ca: bool
 
 
 def _key(public: object) -> tuple[str, int]:
@@ -40,7 +40,7 @@
     return ("DSA", public.key_size) if isinstance(public, dsa.DSAPublicKey) else ("other", 0)
 
 
-def of(certificate: x509.Certificate) -> Facts:
+def from_certificate(certificate: x509.Certificate) -> CertificateInfo:
     """ValueError where the certificate breaks its own form (a duplicate extension, a key nobody knows)."""
     extensions = certificate.extensions
 
@@ -57,23 +57,23 @@
     purposes = (
         frozenset(_PURPOSES[oid] for oid in usage if oid in _PURPOSES)
         if isinstance(usage, x509.ExtendedKeyUsage)
-        else frozenset((SERVES, DIALS))
+        else frozenset((SERVER_AUTH, CLIENT_AUTH))
     )
     key, bits = _key(certificate.public_key())
-    return Facts(
-        names=tuple(name.lower() for name in names),
+    return CertificateInfo(
+        dns_names=tuple(name.lower() for name in names),
         issuer=certificate.issuer.public_bytes(),
         serial=certificate.serial_number,
         not_before=certificate.not_valid_before_utc.timestamp(),
         not_after=certificate.not_valid_after_utc.timestamp(),
-        key=key,
-        bits=bits,
+        key_type=key,
+        key_bits=bits,
         purposes=purposes,
-        authority=isinstance(basic, x509.BasicConstraints) and basic.ca,
+        is_ca=isinstance(basic, x509.BasicConstraints) and basic.ca,
     )
 
 
 @functools.lru_cache(maxsize=1_024)
-def read(der: bytes) -> Facts:
+def read(der: bytes) -> CertificateInfo:
     """The facts of a DER certificate; ValueError where it can't be read."""
-    return of(x509.load_der_x509_certificate(der))
+    return from_certificate(x509.load_der_x509_certificate(der))
--- a/ospreybridge/keys/material.py
+++ b/ospreybridge/keys/credentials.py
@@ -13,23 +13,23 @@
 from cryptography.hazmat.primitives.asymmetric.types import PrivateKeyTypes
 from cryptography.hazmat.primitives.serialization import Encoding, PublicFormat, load_pem_private_key
 
-from ospreybridge.keys import facts as read_facts
-from ospreybridge.keys import judge
-from ospreybridge.keys.facts import DIALS, SERVES, Facts
+from ospreybridge.keys import certificate_info as read_facts
+from ospreybridge.keys import validation
+from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH, CertificateInfo
 
 LARGEST = 1 << 20  # octets of one file; anything longer is no set of certificates
 
 
-class MaterialError(Exception):
+class CredentialsError(Exception):
     """All faults of a set: each names the file and what was expected."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
-        self.faults = faults
+        self.errors = faults
 
 
 @dataclass(frozen=True, slots=True)
-class Paths:
+class CredentialPaths:
     certificate: Path  # PEM: the own certificate first, then its intermediates
     key: Path  # PEM, not encrypted, readable by its owner alone
     trust: Path  # PEM: authorities that peers' certificates must lead to
@@ -40,17 +40,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Material:
+class Credentials:
     """The very octets that were checked; a file that changes afterwards changes nothing here."""
 
     certificate: bytes
     key: bytes
     trust: bytes
-    own: Facts
+    own_certificate: CertificateInfo
     revoked: frozenset[tuple[bytes, int]]
-    ends: dict[str, float]  # what ends when, in seconds since 1970
+    expiry_times: dict[str, float]  # what ends when, in seconds since 1970
     digest: str
-    list_ends: float | None = None  # when the next revocation list was due
+    crl_next_update: float | None = None  # when the next revocation list was due
 
 
 def _read(path: Path, faults: list[str], private: bool = False) -> bytes:
@@ -111,7 +111,7 @@
     return certificate.public_key().public_bytes(*form) == key.public_key().public_bytes(*form)
 
 
-def load(paths: Paths, now: float, name: str = "") -> Material:
+def load(paths: CredentialPaths, now: float, name: str = "") -> Credentials:
     """The set, checked but for its chain (`net.tls.Contexts` has OpenSSL do that); MaterialError names every
     fault. `now` in seconds since 1970; `name`: what the own certificate must say.
     """
@@ -121,7 +121,7 @@
     trust = _read(paths.trust, faults)
     revoked = _read(paths.revoked, faults) if paths.revoked is not None else b""
     if faults:
-        raise MaterialError(faults)
+        raise CredentialsError(faults)
     chain = _certificates(paths.certificate, certificate, faults)
     anchors = _certificates(paths.trust, trust, faults)
     try:
@@ -136,20 +136,20 @@
     own = None
     if chain and anchors:
         try:
-            own = read_facts.of(chain[0])
+            own = read_facts.from_certificate(chain[0])
             trusted = {str(paths.trust): min(one.not_valid_after_utc.timestamp() for one in anchors)}
         except ValueError as error:
-            raise MaterialError([*faults, f"{paths.certificate}: {error}"]) from None
-        for purpose in (SERVES, DIALS):
-            reason = judge.fault(own, now, purpose, serials)
+            raise CredentialsError([*faults, f"{paths.certificate}: {error}"]) from None
+        for purpose in (SERVER_AUTH, CLIENT_AUTH):
+            reason = validation.certificate_error(own, now, purpose, serials)
             if reason is not None:
                 faults.append(f"{paths.certificate}: {reason}")
                 break
-        if name and not judge.named(own, name, True):
-            faults.append(f"{paths.certificate}: names {', '.join(own.names) or 'none'}; expected {name}")
+        if name and not validation.certificate_has_name(own, name, True):
+            faults.append(f"{paths.certificate}: names {', '.join(own.dns_names) or 'none'}; expected {name}")
     if faults or own is None:
-        raise MaterialError(faults)
+        raise CredentialsError(faults)
     ends = {str(paths.certificate): own.not_after} | trusted
     updates = [one.next_update_utc.timestamp() for one in lists if one.next_update_utc is not None]
     digest = hashlib.sha256(b"\0".join((certificate, key, trust, revoked))).hexdigest()[:16]
-    return Material(certificate, key, trust, own, serials, ends, digest, min(updates) if updates else None)
+    return Credentials(certificate, key, trust, own, serials, ends, digest, min(updates) if updates else None)
--- a/ospreybridge/lab/checker.py
+++ b/ospreybridge/lab/checker.py
@@ -13,7 +13,7 @@
 from ospreybridge.lab.tap import Record
 from ospreybridge.signalling import causes, isup, m3ua
 from ospreybridge.signalling.errors import MessageError
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 SKEW = 25.0  # ms between the clocks' readings of two relay processes, and a relay's own delay under load
 SLOT = 10.0  # ms, the shortest turn of a relay that is written down
@@ -143,16 +143,16 @@
         """When a frame may have arrived that a relay read at `at`, since it was busy itself until then."""
         return min(at, self.busy.get(int(at // SLOT), at))
 
-    def _circuits(self, message: Isup) -> tuple[int, ...]:
-        if message.parameters[isup.REQUIREMENT] != bytes((isup.TWO_TIMES_64,)):
+    def _circuits(self, message: IsupMessage) -> tuple[int, ...]:
+        if message.parameters[isup.MEDIUM_REQUIREMENT] != bytes((isup.TWO_TIMES_64,)):
             return (message.cic,)
-        if isup.CIRCUIT_MAP in message.parameters:
-            return isup.mapped_circuits(message.cic, message.parameters[isup.CIRCUIT_MAP])
+        if isup.CIRCUIT_ASSIGNMENT_MAP in message.parameters:
+            return isup.decode_circuit_map(message.cic, message.parameters[isup.CIRCUIT_ASSIGNMENT_MAP])
         return (message.cic, message.cic + 1)
 
-    def _iam(self, record: Record, message: Isup) -> None:
+    def _iam(self, record: Record, message: IsupMessage) -> None:
         at, source, target = record.at, record.source, record.target
-        calling = isup.calling_number(message.parameters.get(isup.CALLING, b"\0\0"))
+        calling = isup.decode_calling_number(message.parameters.get(isup.CALLING_NUMBER, b"\0\0"))
         cics = self._circuits(message)
         group = self._group(record)
         on = [group.get(cic) for cic in cics]
@@ -166,7 +166,7 @@
         leg = Leg(source, target, message.cic, calling, at, cics)
         for cic in cics:
             group[cic] = leg
-        left = isup.words(message.parameters.get(isup.USER_TO_USER)).get("left", 0)
+        left = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER)).get("left", 0)
         leg.due = at + min(left or self.f.deadline, self.f.deadline)
         if target in self.f.exchanges:
             self.into[target, calling] = leg
@@ -198,7 +198,7 @@
         accepted_from_callers = accepted is not None and accepted.source in self.f.callers
         self.verdict.counts["attempts of origins"] += accepted_from_callers and leg.target in self.f.exchanges
 
-    def _stands(self, record: Record, message: Isup) -> None:
+    def _stands(self, record: Record, message: IsupMessage) -> None:
         leg = self._group(record).get(message.cic)
         if leg is None or leg.source != record.target or (leg.over and leg.by != record.source):
             return
@@ -217,14 +217,14 @@
         if late > 0 and not leg.released and not self._asleep(record.source, record.at):
             self._break(1, record.at, f"exchange {record.source}: {leg.calling} {late:.0f} ms late")
 
-    def _rel(self, record: Record, message: Isup) -> None:
+    def _rel(self, record: Record, message: IsupMessage) -> None:
         leg = self._group(record).get(message.cic)
         if leg is None or leg.over or leg.released:
             return
         if record.source == leg.target and not leg.stood and record.source in self.f.exchanges:
             self._in_time(leg, record)
         leg.released, leg.by = record.at, record.source
-        leg.cause, _ = isup.cause(message.parameters[isup.CAUSE])
+        leg.cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
         if record.source == leg.target and leg.target in self.f.exchanges:
             leg.over, leg.ended = True, record.at  # the final answer
         self._in_doubt(leg, record.at, record.source)
@@ -233,10 +233,10 @@
         """An attempt timed out, was cancelled, or ended in a way that may have left something taken."""
         if leg.source not in self.f.exchanges or leg.stood:
             return
-        if by == leg.source or leg.cause in (causes.TIMER, causes.TEMPORARY):
+        if by == leg.source or leg.cause in (causes.TIMER_EXPIRY, causes.TEMPORARY_FAILURE):
             self.doubt[leg.source, leg.calling] = at
 
-    def _rlc(self, record: Record, message: Isup) -> None:
+    def _rlc(self, record: Record, message: IsupMessage) -> None:
         leg = self._group(record).get(message.cic)
         if leg is None:
             return
@@ -250,15 +250,15 @@
         leg.over, leg.ended = True, leg.ended or at
         leg.released = leg.released or at
 
-    def _lost(self, record: Record, message: Isup) -> None:
+    def _lost(self, record: Record, message: IsupMessage) -> None:
         leg = self._group(record).get(message.cic)
         if leg is not None:
             self._over(leg, record.at)
 
-    def _reset(self, record: Record, message: Isup) -> None:
+    def _reset(self, record: Record, message: IsupMessage) -> None:
         count = 1
         if message.type == isup.GRS:
-            count, _ = isup.range_status(message.parameters[isup.RANGE_STATUS])
+            count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         group = self._group(record)
         for cic in range(message.cic, message.cic + count):
             self._cut(group.get(cic), record.at)
@@ -283,9 +283,9 @@
     def _state(self, record: Record, message: m3ua.Message) -> None:
         if record.source not in self.f.lists or message.kind not in (m3ua.DAVA, m3ua.DRST, m3ua.DUNA):
             return
-        words = dict(part.split("=") for part in message.text().split())
+        words = dict(part.split("=") for part in message.info_string().split())
         version = int(words.get("v", 0))
-        for _, code in message.affected():
+        for _, code in message.affected_point_codes():
             if version < self.versions.get((record.target, code), 0):
                 continue  # older news that came later
             self.versions[record.target, code] = version
--- a/ospreybridge/lab/day.py
+++ b/ospreybridge/lab/day.py
@@ -21,15 +21,15 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from ospreybridge.keys.authority import Authority
+from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.lab import tap
 from ospreybridge.lab.checker import Checker, Facts, Verdict
 from ospreybridge.lab.harness import CALLERS, CENTRE, LIST, OFFICE
 from ospreybridge.lab.relay import DOMAIN, SHARED, shared_set
 from ospreybridge.lab.script import Day, Trouble
-from ospreybridge.net.loop import Loop, Task
-from ospreybridge.net.tls import Contexts
-from ospreybridge.settings.server import Peer, circuits
+from ospreybridge.net.loop import EventLoop, Task
+from ospreybridge.net.tls import TlsContexts
+from ospreybridge.settings.server import Peer, parse_cic_ranges
 from ospreybridge.signalling import m3ua
 from ospreybridge.standins.callers import Callers
 from ospreybridge.standins.centre import CentreLink, TheCentre
@@ -101,14 +101,14 @@
         self.day, self.folder, self.say = day, folder, say
         folder.mkdir(parents=True, exist_ok=True)
         self.random = np.random.default_rng(day.seed)
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.tally: Counter[str] = Counter()
         self.delays = HdrHistogram(1, 120_000_000, 3)
         self.count: int = day.fleet["exchanges"]
         self.numbers = range(1, self.count + 1)
         zones = day.fleet["zones"]
         self.servers = {n: Server(n, (n - 1) % zones, folder / f"cs{n}.kdl") for n in self.numbers}
-        self.contexts: Contexts | None = None
+        self.contexts: TlsContexts | None = None
         if day.fleet["tls"]:
             self._certify()
         self.relays: list[subprocess.Popen[bytes]] = []
@@ -125,13 +125,13 @@
 
     def _certify(self) -> None:
         """A set for each call server, and one that relays and stand-ins share: it names everybody."""
-        authority = self.authority = Authority.make(self.folder, 2.0)
+        authority = self.authority = CertificateAuthority.create(self.folder, 2.0)
         servers = [f"cs{n}" for n in self.numbers]
         for name in servers:
             authority.issue(name, [f"{name}.{DOMAIN}"], days=1.0)
         everybody = [*servers, "office", "callers", "list", "centre"]
         authority.issue(SHARED, [f"{name}.{DOMAIN}" for name in everybody], days=1.0)
-        self.contexts = Contexts(shared_set(self.folder))
+        self.contexts = TlsContexts(shared_set(self.folder))
 
     # -- settings of the call servers
 
@@ -173,7 +173,7 @@
                 f"hold={ms(part['hold'])} {{ category {part['category']}; }}"
             )
         for part in day.tenants:
-            prefixes = " ".join(f'"{digits}"' for digits in part.arguments("calling-prefix"))
+            prefixes = " ".join(f'"{digits}"' for digits in part.all_arguments("calling-prefix"))
             lines.append(
                 f'tenant "{part.argument}" share={part["share"]} quota={part["quota"] * day.factor} '
                 f"{{ calling-prefix {prefixes}; }}"
@@ -272,9 +272,15 @@
         for n in self.numbers:
 
             def place(code: int, size: int = 0, n: int = n) -> Place:
-                cics = circuits([f"1-{size}"]) if size else ()
+                cics = parse_cic_ranges([f"1-{size}"]) if size else ()
                 server = Peer(
-                    "cs", "exchange", n, self.context(n, code), dial=("", 0), cics=cics, tls=f"cs{n}.{DOMAIN}"
+                    "cs",
+                    "exchange",
+                    n,
+                    self.context(n, code),
+                    dial_address=("", 0),
+                    cics=cics,
+                    tls_name=f"cs{n}.{DOMAIN}",
                 )
 
                 def address() -> tuple[str, int] | None:
@@ -301,7 +307,7 @@
         day, random = self.day, self.random
         shares = np.array([kind.share for kind in day.kinds])
         shares = shares / shares.sum()
-        prefixes = [p for part in day.tenants for p in part.arguments("calling-prefix")[:1]] or ["5"]
+        prefixes = [p for part in day.tenants for p in part.all_arguments("calling-prefix")[:1]] or ["5"]
         weights = np.array([part["share"] for part in day.tenants] or [1.0])
         weights = weights / weights.sum() if weights.sum() else np.full(len(weights), 1 / len(weights))
         due = self.loop.now
@@ -419,7 +425,9 @@
 
     def _lost_circuits(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
         cics = [
-            c for c in circuits([f"1-{self.day.fleet['circuits']}"]) if self.random.random() < trouble.share
+            c
+            for c in parse_cic_ranges([f"1-{self.day.fleet['circuits']}"])
+            if self.random.random() < trouble.share
         ]
         pairs = [
             (a, b)
@@ -509,7 +517,7 @@
             loop.run_until(lambda: False, 500.0)  # circuits are reset, the list is told
             self.say(f"fleet of {self.count} is up after {time.monotonic() - begun:.1f} s")
             failures: list[str] = []
-            loop.failed = lambda name, error: failures.append(f"{name}: {error!r}")
+            loop.on_task_error = lambda name, error: failures.append(f"{name}: {error!r}")
             loop.spawn(self.arrivals())
             for trouble in day.troubles:
                 loop.spawn(self.trouble(trouble))
--- a/ospreybridge/lab/echo.py
+++ b/ospreybridge/lab/echo.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import Loop, Task
+from ospreybridge.net.loop import EventLoop, Task
 
 
 def serve(port_file: Path) -> None:
-    loop = Loop()
+    loop = EventLoop()
 
     def stop() -> None:
         loop.running = False
@@ -23,13 +23,13 @@
             stream.write(data)
         stream.close("end")
 
-    listener = tcp.listening(("127.0.0.1", 0))
+    listener = tcp.listen(("127.0.0.1", 0))
     loop.on_signals({signal.SIGTERM: stop})
 
     def accepted(sock: socket.socket) -> None:
         loop.spawn(echo(sock))
 
-    loop.spawn(tcp.accepting(loop, listener, accepted))
+    loop.spawn(tcp.accept_connections(loop, listener, accepted))
     port_file.write_text(f"{listener.getsockname()[1]}\n")
     loop.run()
 
--- a/ospreybridge/lab/harness.py
+++ b/ospreybridge/lab/harness.py
@@ -10,34 +10,48 @@
 
 from ospreybridge import interface as i
 from ospreybridge.core.callserver import CallServer
-from ospreybridge.core.roster import info_text
-from ospreybridge.core.timers import Timers
-from ospreybridge.settings.server import ClassRule, Peer, Server
-from ospreybridge.settings.server import Timers as Settings
-from ospreybridge.settings.server import circuits as cics
+from ospreybridge.core.exchange_list import format_info
+from ospreybridge.core.timers import TimerQueue
+from ospreybridge.settings.server import ClassRule, Peer, ServerSettings
+from ospreybridge.settings.server import TimerSettings as Settings
+from ospreybridge.settings.server import parse_cic_ranges as cics
 from ospreybridge.signalling import isup, m3ua
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 # Point codes of the lab: an exchange's is its number, its office's and callers' are these plus its number.
 OFFICE, CALLERS, LIST, CENTRE = 1_000, 2_000, 16_000, 16_001
 
 
-def server(exchanges: int, circuits: int = 30, access: int = 300, **changes: object) -> Server:
+def server(exchanges: int, circuits: int = 30, access: int = 300, **changes: object) -> ServerSettings:
     """Exchange 1 of a mesh; called numbers 37 and three digits of the exchange's number lead to it."""
     peers = [
-        Peer(f"cs{n}", "exchange", n, 100 + n, n, dial=("127.0.0.1", 1), cics=cics([f"1-{circuits}"]))
+        Peer(f"cs{n}", "exchange", n, 100 + n, n, dial_address=("127.0.0.1", 1), cics=cics([f"1-{circuits}"]))
         for n in range(2, exchanges + 1)
     ]
     peers.append(
-        Peer("office", "office", OFFICE, 1, dial=("127.0.0.1", 1), cics=cics([f"1-{min(access, 3_900)}"]))
+        Peer(
+            "office",
+            "office",
+            OFFICE,
+            1,
+            dial_address=("127.0.0.1", 1),
+            cics=cics([f"1-{min(access, 3_900)}"]),
+        )
     )
     for extra in range(0, access, 3_900):
         size = min(3_900, access - extra)
         code = CALLERS + extra // 3_900
         peers.append(
-            Peer(f"callers{code}", "callers", code, code, dial=("127.0.0.1", 1), cics=cics([f"1-{size}"]))
+            Peer(
+                f"callers{code}",
+                "callers",
+                code,
+                code,
+                dial_address=("127.0.0.1", 1),
+                cics=cics([f"1-{size}"]),
+            )
         )
-    peers.append(Peer("list", "list", LIST, 3, dial=("127.0.0.1", 1)))
+    peers.append(Peer("list", "list", LIST, 3, dial_address=("127.0.0.1", 1)))
     given: dict[str, object] = {
         "name": "cs1",
         "number": 1,
@@ -64,13 +78,13 @@
             ask_within=10_000.0,
         ),
         "limits": i.Limits(
-            cancel=True, most_tries=4, peer_messages=False, retry_after=True, max_retry_after=2_000.0
+            cancel=True, max_tries=4, peer_messages=False, retry_after=True, max_retry_after=2_000.0
         ),
         "goal": i.Goal(),
         "timers": Settings(),
         "seed": 5,
     }
-    return Server(**(given | changes))  # type: ignore[arg-type]
+    return ServerSettings(**(given | changes))  # type: ignore[arg-type]
 
 
 class Wire:
@@ -78,28 +92,28 @@
 
     def __init__(self, harness: Harness, point_code: int) -> None:
         self.harness, self.point_code = harness, point_code
-        self.sent: deque[Isup] = deque()
+        self.sent: deque[IsupMessage] = deque()
 
-    def data(self, service: int, sls: int, body: bytes) -> None:
+    def send_data(self, service: int, sls: int, body: bytes) -> None:
         if service == m3ua.SI_ISUP:
             self.harness.out(self.point_code, isup.decode(body))
 
-    def beat(self, told: Callable[[float, float | None], None]) -> None:
-        told(self.harness.now, 1.0)
+    def probe(self, on_result: Callable[[float, float | None], None]) -> None:
+        on_result(self.harness.now, 1.0)
 
-    def audit(self) -> None:
+    def request_audit(self) -> None:
         pass
 
 
 class Harness:
-    def __init__(self, settings: Server, keep: bool = True) -> None:
-        self.timers = Timers()
+    def __init__(self, settings: ServerSettings, keep: bool = True) -> None:
+        self.timers = TimerQueue()
         self.core = CallServer(settings, self.timers)
         self.now, self.keep = 1_000.0, keep
         self.wires = {peer.point_code: Wire(self, peer.point_code) for peer in settings.peers}
-        self.watch: Callable[[int, Isup], None] | None = None
+        self.watch: Callable[[int, IsupMessage], None] | None = None
 
-    def out(self, point_code: int, message: Isup) -> None:
+    def out(self, point_code: int, message: IsupMessage) -> None:
         if self.keep:
             self.wires[point_code].sent.append(message)
         if self.watch is not None:
@@ -111,24 +125,24 @@
             self.core.link_up(self.now, code, self.wires[code])
             for message in list(self.wires[code].sent):
                 if message.type == isup.GRS:
-                    count, _ = isup.range_status(message.parameters[isup.RANGE_STATUS])
-                    octets = isup.range_octets(count, [False] * count)
-                    self.give(code, Isup(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
+                    count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
+                    octets = isup.encode_range_status(count, [False] * count)
+                    self.give(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
                 elif message.type == isup.RSC:
-                    self.give(code, Isup(message.cic, isup.RLC))
+                    self.give(code, IsupMessage(message.cic, isup.RLC))
             self.wires[code].sent.clear()
 
     def ready(self, version: int = 1, kind: tuple[int, int] = m3ua.DAVA, *exchanges: int) -> None:
         """The list tells the named exchanges (all of them by default)."""
-        for code in exchanges or (1, *self.core.exchanges.values()):
-            self.core.news(self.now, kind, [(0, code)], info_text(version, 0, 0))
+        for code in exchanges or (1, *self.core.exchange_codes.values()):
+            self.core.receive_list_update(self.now, kind, [(0, code)], format_info(version, 0, 0))
 
-    def give(self, point_code: int, message: Isup) -> None:
+    def give(self, point_code: int, message: IsupMessage) -> None:
         body = isup.encode(message)
         data = m3ua.Data(point_code, 1, m3ua.SI_ISUP, 2, 0, message.cic & 15, body)
-        self.core.data(self.now, point_code, data)
+        self.core.receive_data(self.now, point_code, data)
 
-    def take(self, point_code: int) -> list[Isup]:
+    def take(self, point_code: int) -> list[IsupMessage]:
         sent = list(self.wires[point_code].sent)
         self.wires[point_code].sent.clear()
         return sent
@@ -136,31 +150,31 @@
     def advance(self, ms: float) -> None:
         """Time passes; timers run at their own moments."""
         end = self.now + ms
-        while (due := self.timers.next()) is not None and due <= end:
+        while (due := self.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.timers.run(self.now)
+            self.timers.run_due(self.now)
         self.now = end
 
 
-def iam(cic: int, called: str, calling: str = "5000001", width: int = 1, **words: int) -> Isup:
+def iam(cic: int, called: str, calling: str = "5000001", width: int = 1, **words: int) -> IsupMessage:
     given = {
-        isup.NATURE: isup.NATURE_PLAIN,
-        isup.FORWARD: isup.FORWARD_PLAIN,
-        isup.CATEGORY: bytes((9 + width,)),
-        isup.REQUIREMENT: bytes((isup.TWO_TIMES_64 if width == 2 else isup.SPEECH,)),
-        isup.CALLED: isup.called(called),
-        isup.CALLING: isup.calling(calling),
+        isup.NATURE_OF_CONNECTION: isup.DEFAULT_NATURE_OF_CONNECTION,
+        isup.FORWARD_INDICATORS: isup.DEFAULT_FORWARD_INDICATORS,
+        isup.CALLING_CATEGORY: bytes((9 + width,)),
+        isup.MEDIUM_REQUIREMENT: bytes((isup.TWO_TIMES_64 if width == 2 else isup.SPEECH,)),
+        isup.CALLED_NUMBER: isup.encode_called_number(called),
+        isup.CALLING_NUMBER: isup.encode_calling_number(calling),
     }
     if words:
-        given[isup.USER_TO_USER] = isup.user_words(**words)
-    return Isup(cic, isup.IAM, given)
+        given[isup.USER_TO_USER] = isup.encode_user_words(**words)
+    return IsupMessage(cic, isup.IAM, given)
 
 
-ACM = {isup.BACKWARD: isup.SUBSCRIBER_FREE}
+ACM = {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}
 
 
-def rel(cic: int, cause: int, **words: int) -> Isup:
-    given = {isup.CAUSE: isup.cause_indicators(cause, 0)}
+def rel(cic: int, cause: int, **words: int) -> IsupMessage:
+    given = {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}
     if words:
-        given[isup.USER_TO_USER] = isup.user_words(**words)
-    return Isup(cic, isup.REL, given)
+        given[isup.USER_TO_USER] = isup.encode_user_words(**words)
+    return IsupMessage(cic, isup.REL, given)
--- a/ospreybridge/lab/measure.py
+++ b/ospreybridge/lab/measure.py
@@ -21,15 +21,15 @@
 
 from ospreybridge import Controller
 from ospreybridge import interface as i
-from ospreybridge.keys import material
-from ospreybridge.keys.authority import Authority
+from ospreybridge.keys import credentials
+from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.lab import harness
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import Loop, Task
-from ospreybridge.net.tls import Contexts
-from ospreybridge.settings.server import Peer, circuits
+from ospreybridge.net.loop import EventLoop, Task
+from ospreybridge.net.tls import TlsContexts
+from ospreybridge.settings.server import Peer, parse_cic_ranges
 from ospreybridge.signalling import isup, m3ua
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.endpoint import Endpoint, Place
 from ospreybridge.standins.listservice import ListLink, TheList
 
@@ -43,17 +43,17 @@
 PHASES = ("quiet", "elsewhere", "here")
 
 
-def keys_of(folder: Path) -> Contexts:
+def keys_of(folder: Path) -> TlsContexts:
     """A set for the call server and one for all stand-ins, whose contexts these are."""
     if not (folder / "ca.key").exists():
-        authority = Authority.make(folder, 2.0)
+        authority = CertificateAuthority.create(folder, 2.0)
         authority.issue("cs1", ["cs1.test"], days=1.0)
         authority.issue("standins", ["standins.test"], days=1.0)
-    return Contexts(material.load(standin_paths(folder), time.time()))
+    return TlsContexts(credentials.load(standin_paths(folder), time.time()))
 
 
-def standin_paths(folder: Path) -> material.Paths:
-    return material.Paths(folder / "standins.crt", folder / "standins.key", folder / "ca.crt")
+def standin_paths(folder: Path) -> credentials.CredentialPaths:
+    return credentials.CredentialPaths(folder / "standins.crt", folder / "standins.key", folder / "ca.crt")
 
 
 def settings_text(exchanges: int, secured: bool = False) -> str:
@@ -81,15 +81,15 @@
 
     delays: HdrHistogram
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         if message.type == isup.IAM:
-            due = int(isup.calling_number(message.parameters[isup.CALLING]))
+            due = int(isup.decode_calling_number(message.parameters[isup.CALLING_NUMBER]))
             took = int(self.loop.clock() * 1e6) % CLOCK - due
             self.delays.record_value(max(1, took))
-            self.send(Isup(message.cic, isup.ACM, harness.ACM))
-            self.send(Isup(message.cic, isup.ANM))
+            self.send(IsupMessage(message.cic, isup.ACM, harness.ACM))
+            self.send(IsupMessage(message.cic, isup.ANM))
         elif message.type == isup.REL:
-            self.send(Isup(message.cic, isup.RLC))
+            self.send(IsupMessage(message.cic, isup.RLC))
 
 
 def _in_turns(phases: list[Phase], far: subprocess.Popen[bytes]) -> Task:
@@ -107,7 +107,7 @@
 
 def answering(port: int, exchanges: int, keys: str) -> None:
     """A process of its own, so that the callers' work does not stand in the way of the measured delay."""
-    loop, delays = Loop(), HdrHistogram(1, 60_000_000, 3)
+    loop, delays = EventLoop(), HdrHistogram(1, 60_000_000, 3)
     contexts = keys_of(Path(keys)) if keys else None
 
     def stop() -> None:
@@ -126,7 +126,7 @@
     loop.on_signals({signal.SIGTERM: stop, signal.SIGUSR1: delays.reset, signal.SIGUSR2: change})
     ends = []
     for n in range(2, exchanges + 1):
-        server = Peer("cs1", "exchange", 1, 100 + n, 1, dial=("", 0), tls="cs1.test")
+        server = Peer("cs1", "exchange", 1, 100 + n, 1, dial_address=("", 0), tls_name="cs1.test")
         ends.append(Answering(Place(loop, n, server, lambda: ("127.0.0.1", port), contexts)))
         ends[-1].delays = delays
     steady()
@@ -146,7 +146,7 @@
     def begin(self, exchanges: int) -> None:
         self.exchanges = exchanges
         self.lag = HdrHistogram(1, 60_000_000, 3)  # µs by which the callers themselves were late
-        self.free = list(reversed(circuits([f"1-{ACCESS}"])))
+        self.free = list(reversed(parse_cic_ranges([f"1-{ACCESS}"])))
         self.made = self.done = self.refused = 0
 
     def dial(self, due: float) -> None:
@@ -157,12 +157,12 @@
         calling = f"{int(self.loop.clock() * 1e6) % CLOCK:012d}"
         self.send(harness.iam(cic, f"37{dest:03d}{self.made % 10_000:04d}", calling, left=9_000))
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         if message.type == isup.ACM:
-            self.loop.timers.at(self.loop.now + HOLD, self._hang_up, message.cic)
+            self.loop.timers.schedule(self.loop.now + HOLD, self._hang_up, message.cic)
         elif message.type == isup.REL:
             self.refused += 1
-            self.send(Isup(message.cic, isup.RLC))
+            self.send(IsupMessage(message.cic, isup.RLC))
             self._end(message.cic)
         elif message.type == isup.RLC:
             self._end(message.cic)
@@ -200,7 +200,7 @@
     return process, int(port_file.read_text())
 
 
-def _paced(loop: Loop, rate: float, calls: int, make: Callable[[float], None]) -> Task:
+def _paced(loop: EventLoop, rate: float, calls: int, make: Callable[[float], None]) -> Task:
     due = loop.now
     for _ in range(calls):
         due += 1_000.0 / rate
@@ -227,10 +227,10 @@
     contexts = keys_of(folder) if secured else None
     process, port = child(["ospreybridge", "serve", str(file), "--port-file"], folder)
     try:
-        loop = Loop()
+        loop = EventLoop()
 
         def place(code: int, context: int) -> Place:
-            server = Peer("cs1", "exchange", 1, context, 1, dial=("", 0), tls="cs1.test")
+            server = Peer("cs1", "exchange", 1, context, 1, dial_address=("", 0), tls_name="cs1.test")
             return Place(loop, code, server, lambda: ("127.0.0.1", port), contexts)
 
         far = subprocess.Popen(
@@ -287,16 +287,16 @@
     """The same frames in the same order and pace over as many connections, echoed and nothing else."""
     process, port = child(["ospreybridge.lab.echo"], folder)
     try:
-        loop = Loop()
+        loop = EventLoop()
         done = 0
         streams: list[tcp.Stream] = []
 
-        def frame(message: Isup) -> bytes:
+        def frame(message: IsupMessage) -> bytes:
             return m3ua.encode_data(m3ua.Data(2_000, 1, 5, 2, 0, message.cic & 15, isup.encode(message), 5))
 
         def reader(index: int) -> Task:
             nonlocal done
-            sock = yield from tcp.dial(loop, ("127.0.0.1", port), 2_000)
+            sock = yield from tcp.connect(loop, ("127.0.0.1", port), 2_000)
             stream = tcp.Stream(loop, sock, 1 << 24)
             streams.append(stream)
             splitter = m3ua.Splitter()
@@ -307,12 +307,12 @@
                     message = isup.decode(data_message.body)
                     far = streams[1 + message.cic % (exchanges - 1)]
                     if message.type == isup.IAM:
-                        far.write(frame(Isup(message.cic, isup.ACM, harness.ACM)))
-                        far.write(frame(Isup(message.cic, isup.ANM)))
+                        far.write(frame(IsupMessage(message.cic, isup.ACM, harness.ACM)))
+                        far.write(frame(IsupMessage(message.cic, isup.ANM)))
                     elif message.type == isup.ANM:
-                        loop.timers.at(loop.now + HOLD, release, message.cic)
+                        loop.timers.schedule(loop.now + HOLD, release, message.cic)
                     elif message.type == isup.REL:
-                        far.write(frame(Isup(message.cic, isup.RLC)))
+                        far.write(frame(IsupMessage(message.cic, isup.RLC)))
                     elif message.type == isup.RLC:
                         done += 1
 
@@ -370,9 +370,9 @@
     h.up()
     h.ready()
     h.keep = False
-    out: list[tuple[int, Isup]] = []
+    out: list[tuple[int, IsupMessage]] = []
     h.watch = lambda code, message: out.append((code, message))
-    groups = [(peer.point_code, peer.cics) for peer in h.core.s.peers if peer.role == "callers"]
+    groups = [(peer.point_code, peer.cics) for peer in h.core.settings.peers if peer.role == "callers"]
     access = [(code, cic) for code, cics in groups for cic in cics][:count]
     gc.collect()
     before = _resident()
@@ -383,8 +383,8 @@
         h.give(code, harness.iam(cic, called, f"50{serial:08d}"))
         to = [(far, m) for far, m in out if m.type == isup.IAM]
         for far, message in to:
-            h.give(far, Isup(message.cic, isup.ACM, harness.ACM))
-            h.give(far, Isup(message.cic, isup.ANM))
+            h.give(far, IsupMessage(message.cic, isup.ACM, harness.ACM))
+            h.give(far, IsupMessage(message.cic, isup.ANM))
     h.advance(10_000)  # timers of the set-ups are gone
     gc.collect()
     standing = len(h.core.calls)
@@ -408,11 +408,11 @@
         controller = Controller(
             i.Settings(
                 classes=(kind,),
-                here=0,
-                peers=62,
+                own_exchange=0,
+                server_count=62,
                 tick=5.0,
                 rules=rules,
-                limits=i.Limits(cancel=True, most_tries=4),
+                limits=i.Limits(cancel=True, max_tries=4),
             ),
             1,
         )
@@ -428,7 +428,7 @@
             now += 1_000.0 / rate
             for action in controller.handle(now, i.Request(ref, 0, 1 + ref % 61, now + 9_000.0)):
                 if isinstance(action, i.Send):
-                    controller.handle(now, i.Stands(ref, 0, action.office, 5.0))
+                    controller.handle(now, i.Established(ref, 0, action.office, 5.0))
                     controller.handle(
                         now, i.Outcome(ref, 0, action.office, i.Result.OK, 5.0, True, report=full)
                     )
--- a/ospreybridge/lab/measure_tls.py
+++ b/ospreybridge/lab/measure_tls.py
@@ -18,11 +18,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ospreybridge.core.handshakes import Handshakes
+from ospreybridge.core.handshakes import HandshakeScheduler
 from ospreybridge.lab.measure import Say, calls, child, keys_of, settings_text, spent_by, steady
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import Loop, Task, Trap
-from ospreybridge.net.tls import Contexts, Refused, TlsStream
+from ospreybridge.net.loop import EventLoop, Task, WaitRequest
+from ospreybridge.net.tls import HandshakeError, TlsContexts, TlsStream
 from ospreybridge.signalling import m3ua
 
 ROUNDS = 5  # times as many calls as for the other figures: a p99 needs many
@@ -32,27 +32,27 @@
 WARM = 20  # connections before those that are counted
 AT_ONCE = 16
 LONE = 20.0  # ms between lone connections
-BEAT = m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT, b"mark")])
+BEAT = m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT_DATA, b"mark")])
 
 
 class Dialling:
     """Connections to a call server, each up to the answer to its first BEAT."""
 
-    def __init__(self, loop: Loop, port: int, contexts: Contexts | None, resume: bool) -> None:
+    def __init__(self, loop: EventLoop, port: int, contexts: TlsContexts | None, resume: bool) -> None:
         self.loop, self.port, self.contexts, self.resume = loop, port, contexts, resume
         self.took = HdrHistogram(1, 60_000_000, 3)
         self.sessions: list[Any] = []
         self.resumed = self.done = 0
 
-    def one(self) -> Generator[Trap, None, None]:
+    def one(self) -> Generator[WaitRequest, None, None]:
         begun = self.loop.clock()
-        sock = yield from tcp.dial(self.loop, ("127.0.0.1", self.port), 5_000.0)
+        sock = yield from tcp.connect(self.loop, ("127.0.0.1", self.port), 5_000.0)
         session = self.sessions.pop() if self.sessions else None
         if self.contexts is None:
             stream = tcp.Stream(self.loop, sock)
         else:
-            pace = Handshakes(1, 0)  # of its own: the dialler is not what is measured
-            stream = yield from self.contexts.dialled(self.loop, sock, pace, "cs1.test", session)
+            pace = HandshakeScheduler(1, 0)  # of its own: the dialler is not what is measured
+            stream = yield from self.contexts.connect(self.loop, sock, pace, "cs1.test", session)
         stream.write(BEAT)
         if not (yield from stream.read()):
             stream.close("not answered")
@@ -72,7 +72,7 @@
                 yield "sleep", pause
 
 
-def _rows(loop: Loop, dialling: Dialling, pid: int, count: int) -> dict[str, float]:
+def _rows(loop: EventLoop, dialling: Dialling, pid: int, count: int) -> dict[str, float]:
     """Lone ones for the delay, which the server's pace leaves alone; then several at once for the rate."""
     loop.spawn(dialling.several(WARM))
     _until(loop, lambda: dialling.done == WARM)
@@ -94,7 +94,7 @@
     }
 
 
-def _until(loop: Loop, condition: Any) -> None:
+def _until(loop: EventLoop, condition: Any) -> None:
     if not loop.run_until(condition, 120_000):
         raise RuntimeError("connections did not come to their end")
 
@@ -108,7 +108,7 @@
         file.write_text(settings_text(3, secured))
         process, port = child(["ospreybridge", "serve", str(file), "--port-file"], folder)
         try:
-            loop = Loop()
+            loop = EventLoop()
             dialling = Dialling(loop, port, contexts if secured else None, resume)
             row = found[name] = _rows(loop, dialling, process.pid, count)
         finally:
@@ -197,7 +197,7 @@
 def storm_of(port: int, folder: Path, peers: int) -> None:
     """Peers that dial, shake hands in full and go, for as long as the process lives."""
     os.nice(10)  # in the field it is other machines: its own work must not stand in the call server's way
-    loop, contexts, done = Loop(), keys_of(folder), 0
+    loop, contexts, done = EventLoop(), keys_of(folder), 0
 
     def stop() -> None:
         loop.running = False
@@ -208,7 +208,7 @@
         nonlocal done
         yield "sleep", STORM_PAUSE * number / peers
         while True:
-            with contextlib.suppress(OSError, Refused, RuntimeError):
+            with contextlib.suppress(OSError, HandshakeError, RuntimeError):
                 yield from Dialling(loop, port, contexts, False).one()
                 done += 1
             yield "sleep", STORM_PAUSE
--- a/ospreybridge/lab/onecall.py
+++ b/ospreybridge/lab/onecall.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from ospreybridge.core.circuits import State, TrunkGroup
-from ospreybridge.net.loop import Loop
-from ospreybridge.settings.server import Peer, Server
+from ospreybridge.core.circuits import CircuitState, TrunkGroup
+from ospreybridge.net.loop import EventLoop
+from ospreybridge.settings.server import Peer, ServerSettings
 from ospreybridge.signalling import causes, isup
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.callers import FORWARD
 from ospreybridge.standins.endpoint import Endpoint, Place
 
@@ -16,7 +16,7 @@
 class OneCall(Endpoint):
     def __init__(
         self,
-        settings: Server,
+        settings: ServerSettings,
         called: str,
         calling: str,
         category: int,
@@ -31,9 +31,14 @@
         self.cic = 0
         self.stood = self.over = False
         server = Peer(
-            settings.name, "exchange", settings.point_code, self.me.context, dial=("", 0), cics=self.me.cics
+            settings.name,
+            "exchange",
+            settings.point_code,
+            self.me.routing_context,
+            dial_address=("", 0),
+            cics=self.me.cics,
         )
-        super().__init__(Place(Loop(), self.me.point_code, server, lambda: settings.listen))
+        super().__init__(Place(EventLoop(), self.me.point_code, server, lambda: settings.listen))
 
     def run(self, within: float, hold: float) -> bool:
         """Whether the call stood; times in milliseconds."""
@@ -44,43 +49,47 @@
         loop.run_until(lambda: False, 300.0)  # its circuits are reset first
         group = TrunkGroup("access", self.me.cics, self.me.point_code, self.settings.point_code, set())
         for circuit in group.circuits.values():
-            group.set(circuit, State.IDLE)
-        cics = group.choose(2 if self.wide else 1)
+            group.set_state(circuit, CircuitState.IDLE)
+        cics = group.select(2 if self.wide else 1)
         self.cic, self.begun = cics[0], loop.now
         medium = isup.TWO_TIMES_64 if self.wide else isup.SPEECH
         given = {
             **FORWARD,
-            isup.CATEGORY: bytes((self.category,)),
-            isup.REQUIREMENT: bytes((medium,)),
-            isup.CALLED: isup.called(self.called),
-            isup.CALLING: isup.calling(self.calling),
+            isup.CALLING_CATEGORY: bytes((self.category,)),
+            isup.MEDIUM_REQUIREMENT: bytes((medium,)),
+            isup.CALLED_NUMBER: isup.encode_called_number(self.called),
+            isup.CALLING_NUMBER: isup.encode_calling_number(self.calling),
         }
         self.say(f"IAM to {self.settings.name} on circuit {self.cic}: {self.calling} calls {self.called}")
-        self.send(Isup(self.cic, isup.IAM, given))
+        self.send(IsupMessage(self.cic, isup.IAM, given))
         loop.run_until(lambda: self.stood or self.over, within)
         if self.stood and hold:
             loop.run_until(lambda: self.over, hold)
         if not self.over:
-            self.send(Isup(self.cic, isup.REL, {isup.CAUSE: isup.cause_indicators(causes.NORMAL, 0)}))
+            self.send(
+                IsupMessage(
+                    self.cic, isup.REL, {isup.CAUSE_INDICATORS: isup.encode_cause(causes.NORMAL_CLEARING, 0)}
+                )
+            )
             loop.run_until(lambda: self.over, 2_000.0)
         self.drop()
         return self.stood
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         if message.cic != self.cic:
             return
         after = f"{self.loop.now - self.begun:8.1f} ms"
-        words = isup.words(message.parameters.get(isup.USER_TO_USER))
+        words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
         if message.type in (isup.ACM, isup.CON):
             by = self.names.get(words.get("via", -1), "the own office")
             tries = f", attempt {words['tries']}" if words.get("tries") else ""
             self.say(f"{after}  {message.name}: the call stands, by {by}{tries}")
             self.stood = True
         elif message.type == isup.REL:
-            cause, _ = isup.cause(message.parameters[isup.CAUSE])
+            cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
             back = f"; come back in {words['retry']} ms" if "retry" in words else ""
             self.say(f"{after}  REL: cause {cause}, {causes.name(cause)}{back}")
-            self.send(Isup(self.cic, isup.RLC))
+            self.send(IsupMessage(self.cic, isup.RLC))
             self.over = True
         elif message.type == isup.RLC:
             self.say(f"{after}  RLC: released")
--- a/ospreybridge/lab/relay.py
+++ b/ospreybridge/lab/relay.py
@@ -15,14 +15,14 @@
 from pathlib import Path
 from typing import Any
 
-from ospreybridge.core.handshakes import Handshakes
-from ospreybridge.keys import material
+from ospreybridge.core.handshakes import HandshakeScheduler
+from ospreybridge.keys import credentials
 from ospreybridge.lab.tap import BUSY, DOWN, FRAME, INJECTED, STAMP, UP, Tap
 from ospreybridge.net import tcp, tls
-from ospreybridge.net.loop import READ, Loop, Task
+from ospreybridge.net.loop import READ, EventLoop, Task
 from ospreybridge.signalling import isup, m3ua, sccp
 from ospreybridge.signalling.errors import FrameError, MessageError
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 BUFFER = 1 << 24
 DOMAIN, SHARED = "example.test", "everybody"  # of the names in a fleet's certificates; the shared set's files
@@ -36,9 +36,9 @@
     return frame[CIRCUIT] | (frame[CIRCUIT + 1] & 15) << 8
 
 
-def shared_set(folder: Path) -> material.Material:
-    paths = material.Paths(folder / f"{SHARED}.crt", folder / f"{SHARED}.key", folder / "ca.crt")
-    return material.load(paths, time.time())
+def shared_set(folder: Path) -> credentials.Credentials:
+    paths = credentials.CredentialPaths(folder / f"{SHARED}.crt", folder / f"{SHARED}.key", folder / "ca.crt")
+    return credentials.load(paths, time.time())
 
 
 class Pair:
@@ -86,7 +86,7 @@
             self.held.append((to, data))
         elif self.link.delay > 0:
             loop = self.relay.loop
-            loop.timers.at(loop.now + self.link.delay, lambda now: to.write(data))
+            loop.timers.schedule(loop.now + self.link.delay, lambda now: to.write(data))
         else:
             to.write(data)
 
@@ -103,7 +103,7 @@
         if relay.lose and frame[SERVICE] == m3ua.SI_SCCP and relay.random.random() < relay.lose:
             try:
                 data = m3ua.decode(frame)
-                return isinstance(data, m3ua.Data) and sccp.decode(data.body)[0] == sccp.PEERS
+                return isinstance(data, m3ua.Data) and sccp.decode(data.body)[0] == sccp.PEER_SUBSYSTEM
             except MessageError:
                 return False
         if self.link.dead and len(frame) > TYPE and frame[TYPE] == isup.IAM:
@@ -116,7 +116,7 @@
                 return True
         return False
 
-    def say(self, source: int, target: int, message: Isup, answer: int) -> None:
+    def say(self, source: int, target: int, message: IsupMessage, answer: int) -> None:
         """Puts a message in as if `source` had sent it; its answer stays here."""
         data = m3ua.Data(
             source, target, m3ua.SI_ISUP, 2, 0, message.cic & 15, isup.encode(message), self.link.context
@@ -135,8 +135,8 @@
         self.pair: Pair | None = None
         self.dead: set[int] = set()  # circuits that are lost
         self.owed: set[tuple[int, int, int]] = set()
-        self.socket = tcp.listening(("127.0.0.1", 0))
-        relay.loop.spawn(tcp.accepting(relay.loop, self.socket, self._accepted))
+        self.socket = tcp.listen(("127.0.0.1", 0))
+        relay.loop.spawn(tcp.accept_connections(relay.loop, self.socket, self._accepted))
 
     @property
     def port(self) -> int:
@@ -153,16 +153,18 @@
         near: tcp.Stream | None = None
         try:
             if contexts is not None:
-                secured = yield from tls.shake(loop, sock, contexts.wrap_server, pace, tls.STANDIN_WITHIN)
+                secured = yield from tls.handshake(
+                    loop, sock, contexts.wrap_server, pace, tls.STANDIN_HANDSHAKE_TIMEOUT_MS
+                )
                 near = tls.TlsStream(loop, secured, BUFFER)
             else:
                 near = tcp.Stream(loop, sock, BUFFER)
-            raw = yield from tcp.dial(loop, ("127.0.0.1", self.relay.ports[self.target]), 2_000.0)
+            raw = yield from tcp.connect(loop, ("127.0.0.1", self.relay.ports[self.target]), 2_000.0)
             if contexts is not None:
-                far: tcp.Stream = yield from contexts.dialled(loop, raw, pace, f"cs{self.target}.{DOMAIN}")
+                far: tcp.Stream = yield from contexts.connect(loop, raw, pace, f"cs{self.target}.{DOMAIN}")
             else:
                 far = tcp.Stream(loop, raw, BUFFER)
-        except (OSError, tls.Refused):
+        except (OSError, tls.HandshakeError):
             if near is not None:
                 near.close("nobody there")
             return
@@ -171,21 +173,21 @@
 
 class Relay:
     def __init__(self, tap: Path, seed: int) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.tap = Tap(tap)
         self.random = random.Random(seed)
         self.links: dict[tuple[int, int], Link] = {}
         self.ports: dict[int, int] = {}  # where each dialled side listens, by point code
         self.lose = 0.0
-        self.contexts: tls.Contexts | None = None  # with keys, both halves of each connection are TLS
-        self.pace = Handshakes(SLOTS, seed, share=1.0)
+        self.contexts: tls.TlsContexts | None = None  # with keys, both halves of each connection are TLS
+        self.pace = HandshakeScheduler(SLOTS, seed, cpu_share=1.0)
 
     def command(self, order: dict[str, Any]) -> None:
         """One order: link, port, cut, heal, stall, lose, block, unblock."""
         match order["do"]:
             case "links":
                 if order["keys"]:
-                    self.contexts = tls.Contexts(shared_set(Path(order["keys"])))
+                    self.contexts = tls.TlsContexts(shared_set(Path(order["keys"])))
                 for source, target, delay, context in order["links"]:
                     self.links[source, target] = Link(self, source, target, delay, context)
                 ports = [[s, t, link.port] for (s, t), link in self.links.items()]
@@ -219,14 +221,14 @@
             first, last = min(order["cics"]), max(order["cics"])
             lost = [cic in order["cics"] for cic in range(first, last + 1)]
             given = {
-                isup.SUPERVISION: isup.MAINTENANCE,
-                isup.RANGE_STATUS: isup.range_octets(len(lost), lost),
+                isup.GROUP_SUPERVISION: isup.MAINTENANCE_ORIENTED,
+                isup.RANGE_STATUS: isup.encode_range_status(len(lost), lost),
             }
             kind, answer = (isup.CGB, isup.CGBA) if action == "block" else (isup.CGU, isup.CGUA)
             for source, target in ((link.source, link.target), (link.target, link.source)):
                 for cic in order["cics"] if action == "block" else ():
-                    pair.say(source, target, Isup(cic, isup.RSC), isup.RLC)
-                pair.say(source, target, Isup(first, kind, given), answer)
+                    pair.say(source, target, IsupMessage(cic, isup.RSC), isup.RLC)
+                pair.say(source, target, IsupMessage(first, kind, given), answer)
 
     def orders(self) -> Task:
         os.set_blocking(0, False)
@@ -245,7 +247,7 @@
         self.loop.spawn(self.orders())
         with contextlib.suppress(KeyboardInterrupt):
             while self.loop.running:
-                self.loop.turn()
+                self.loop.run_once()
                 begun, ended = self.loop.now, self.loop.clock() * 1_000.0
                 if ended - begun > LONG_TURN:
                     self.tap.note(ended, BUSY, 0, 0, STAMP.pack(begun))
--- a/ospreybridge/lab/script.py
+++ b/ospreybridge/lab/script.py
@@ -6,8 +6,19 @@
 from pathlib import Path
 from typing import Any
 
-from ospreybridge.settings.reader import Form, Key, Part, Reader, choice, digits, flag, number, text, whole
-from ospreybridge.settings.server import FORM as SERVER
+from ospreybridge.settings.reader import (
+    NodeSpec,
+    ParsedNode,
+    Reader,
+    ValueSpec,
+    choice,
+    digits,
+    flag,
+    integer,
+    number,
+    text,
+)
+from ospreybridge.settings.server import SERVER_SPEC as SERVER
 from ospreybridge.standins.callers import Habits, Kind
 from ospreybridge.standins.office import Processor
 
@@ -32,75 +43,81 @@
 }
 _SECONDS = number(0, 86_400)
 _SHARE = number(0, 1)
-FORM = Form(
+FORM = NodeSpec(
     children={
-        "day": Form(
-            Key(text, needed=True),
+        "day": NodeSpec(
+            ValueSpec(text, required=True),
             {
-                "seconds": Key(number(1, 86_400), 30.0),
-                "factor": Key(number(0.1, 20), 1.0),
-                "seed": Key(whole(0, 2**32), 1),
+                "seconds": ValueSpec(number(1, 86_400), 30.0),
+                "factor": ValueSpec(number(0.1, 20), 1.0),
+                "seed": ValueSpec(integer(0, 2**32), 1),
             },
         ),
-        "fleet": Form(
-            keys={
-                "exchanges": Key(whole(2, 200), 5),
-                "zones": Key(whole(1, 8), 1),
-                "circuits": Key(whole(1, 992), 24),
-                "access": Key(whole(1, 2_000), 300),
-                "lines": Key(whole(1, 2_000), 300),
-                "relays": Key(whole(1, 8), 1),
-                "delay": Key(number(0, 1_000), 1.0),
-                "far-delay": Key(number(0, 1_000), 8.0),
-                "tls": Key(flag, False),
+        "fleet": NodeSpec(
+            properties={
+                "exchanges": ValueSpec(integer(2, 200), 5),
+                "zones": ValueSpec(integer(1, 8), 1),
+                "circuits": ValueSpec(integer(1, 992), 24),
+                "access": ValueSpec(integer(1, 2_000), 300),
+                "lines": ValueSpec(integer(1, 2_000), 300),
+                "relays": ValueSpec(integer(1, 8), 1),
+                "delay": ValueSpec(number(0, 1_000), 1.0),
+                "far-delay": ValueSpec(number(0, 1_000), 8.0),
+                "tls": ValueSpec(flag, False),
             }
         ),
-        "traffic": Form(keys={"rate": Key(number(0.1, 100_000), 50.0)}),
-        "callers": Form(
-            keys={
-                "patience": Key(number(1, 1e6), 3_300.0),
-                "redials": Key(whole(0, 20), 2),
-                "redial-after": Key(number(1, 1e6), 800.0),
-                "heeds": Key(_SHARE, 0.7),
+        "traffic": NodeSpec(properties={"rate": ValueSpec(number(0.1, 100_000), 50.0)}),
+        "callers": NodeSpec(
+            properties={
+                "patience": ValueSpec(number(1, 1e6), 3_300.0),
+                "redials": ValueSpec(integer(0, 20), 2),
+                "redial-after": ValueSpec(number(1, 1e6), 800.0),
+                "heeds": ValueSpec(_SHARE, 0.7),
             }
         ),
-        "processor": Form(
-            keys={
-                "setup": Key(number(0.01, 1e5), 4.0),
-                "release": Key(number(0, 1e5), 0.5),
-                "refuse-after": Key(number(1, 1e6), 1_500.0),
+        "processor": NodeSpec(
+            properties={
+                "setup": ValueSpec(number(0.01, 1e5), 4.0),
+                "release": ValueSpec(number(0, 1e5), 0.5),
+                "refuse-after": ValueSpec(number(1, 1e6), 1_500.0),
             }
         ),
-        "list": Form(
-            keys={
-                "delay-low": Key(number(0, 1e5), 200.0),
-                "delay-high": Key(number(0, 1e5), 1_500.0),
+        "list": NodeSpec(
+            properties={
+                "delay-low": ValueSpec(number(0, 1e5), 200.0),
+                "delay-high": ValueSpec(number(0, 1e5), 1_500.0),
             }
         ),
-        "centre": Form(keys={"every": Key(number(1, 1e6), 2_500.0)}),
-        "class": Form(
-            Key(text, needed=True),
-            {**SERVER.children["class"].keys, "share": Key(_SHARE, 1.0), "category": Key(whole(0, 255), 10)},
+        "centre": NodeSpec(properties={"every": ValueSpec(number(1, 1e6), 2_500.0)}),
+        "class": NodeSpec(
+            ValueSpec(text, required=True),
+            {
+                **SERVER.children["class"].properties,
+                "share": ValueSpec(_SHARE, 1.0),
+                "category": ValueSpec(integer(0, 255), 10),
+            },
         ),
-        "tenant": Form(
-            Key(text, needed=True),
-            dict(SERVER.children["tenant"].keys),
-            {"calling-prefix": Form(Key(digits, needed=True), several=True)},
+        "tenant": NodeSpec(
+            ValueSpec(text, required=True),
+            dict(SERVER.children["tenant"].properties),
+            {"calling-prefix": NodeSpec(ValueSpec(digits, required=True), many_arguments=True)},
         ),
         "rules": SERVER.children["rules"],
         "limits": SERVER.children["limits"],
         "goal": SERVER.children["goal"],
-        "module": Form(keys={"over-share-worth": Key(_SHARE, 1.0), "advice": Key(flag, True)}),
-        "trouble": Form(
-            Key(choice(*KINDS), needed=True),
+        "module": NodeSpec(
+            properties={"over-share-worth": ValueSpec(_SHARE, 1.0), "advice": ValueSpec(flag, True)}
+        ),
+        "trouble": NodeSpec(
+            ValueSpec(choice(*KINDS), required=True),
             {
-                "at": Key(_SECONDS, 0.0, True),
-                "for": Key(_SECONDS, 0.0),
-                "share": Key(_SHARE),
-                "factor": Key(number(0, 1_000), 3.0),
-                "exchanges": Key(text, ""),
-                "back": Key(_SECONDS, 2.0),
-                "grace": Key(_SECONDS, 2.0),
+                "at": ValueSpec(_SECONDS, 0.0, True),
+                "for": ValueSpec(_SECONDS, 0.0),
+                "share": ValueSpec(_SHARE),
+                "factor": ValueSpec(number(0, 1_000), 3.0),
+                "exchanges": ValueSpec(text, ""),
+                "back": ValueSpec(_SECONDS, 2.0),
+                "grace": ValueSpec(_SECONDS, 2.0),
             },
         ),
     }
@@ -132,8 +149,8 @@
     list_delay: tuple[float, float]
     centre_every: float
     kinds: tuple[Kind, ...]
-    classes: tuple[Part, ...]
-    tenants: tuple[Part, ...]
+    classes: tuple[ParsedNode, ...]
+    tenants: tuple[ParsedNode, ...]
     rules: dict[str, Any]
     limits: dict[str, Any]
     goal: dict[str, Any]
@@ -145,32 +162,36 @@
         return value / self.factor
 
 
-def _keys(top: Part, name: str) -> dict[str, Any]:
-    part = top.one(name)
-    return part.values if part else {key: wanted.default for key, wanted in FORM.children[name].keys.items()}
+def _keys(top: ParsedNode, name: str) -> dict[str, Any]:
+    part = top.first_child(name)
+    return (
+        part.properties
+        if part
+        else {key: wanted.default for key, wanted in FORM.children[name].properties.items()}
+    )
 
 
 def load(path: Path, factor: float | None = None, troubles: bool = True) -> Day:
     """A checked day; SettingsError names every fault. `factor` and `troubles=False` override the script."""
     reader = Reader(path)
     top = reader.read(FORM)
-    day = top.one("day")
+    day = top.first_child("day")
     if day is None:
-        reader.fault(1, "day", "missing")
-    if not top.all("class"):
-        reader.fault(1, "class", "at least one is needed")
+        reader.add_error(1, "day", "missing")
+    if not top.children_named("class"):
+        reader.add_error(1, "class", "at least one is needed")
     fleet = _keys(top, "fleet")
     found = []
-    for part in top.all("trouble"):
+    for part in top.children_named("trouble"):
         names = tuple(int(x) for x in part["exchanges"].split(",") if x.strip().isdigit())
         if any(not 1 <= name <= fleet["exchanges"] for name in names):
-            reader.fault(part.line, "trouble exchanges", f"numbers from 1 to {fleet['exchanges']}")
+            reader.add_error(part.line, "trouble exchanges", f"numbers from 1 to {fleet['exchanges']}")
         if (
             part["share"] is None
             and not names
             and part.argument not in ("burst", "stale-list", "retry-abuse")
         ):
-            reader.fault(part.line, "trouble", "exchanges or share is needed")
+            reader.add_error(part.line, "trouble", "exchanges or share is needed")
         share = 1.0 if part["share"] is None else part["share"]
         found.append(
             Trouble(
@@ -185,10 +206,10 @@
             )
         )
         if part.argument == "renew-keys" and not fleet["tls"]:
-            reader.fault(part.line, "trouble", "renew-keys needs fleet tls=true")
+            reader.add_error(part.line, "trouble", "renew-keys needs fleet tls=true")
         if day is not None and part["at"] > day["seconds"]:
-            reader.fault(part.line, "trouble at", f"within the day's {day['seconds']:g} seconds")
-    reader.check()
+            reader.add_error(part.line, "trouble at", f"within the day's {day['seconds']:g} seconds")
+    reader.raise_errors()
     assert day is not None
     speed = factor or day["factor"]
     callers, processor, rules = _keys(top, "callers"), _keys(top, "processor"), _keys(top, "rules")
@@ -202,7 +223,7 @@
             part["deadline"] / speed,
             part["hold"] / speed,
         )
-        for part in top.all("class")
+        for part in top.children_named("class")
     )
     listed = _keys(top, "list")
     return Day(
@@ -227,8 +248,8 @@
         list_delay=(listed["delay-low"] / speed, listed["delay-high"] / speed),
         centre_every=_keys(top, "centre")["every"] / speed,
         kinds=kinds,
-        classes=tuple(top.all("class")),
-        tenants=tuple(top.all("tenant")),
+        classes=tuple(top.children_named("class")),
+        tenants=tuple(top.children_named("tenant")),
         rules=rules,
         limits=_keys(top, "limits"),
         goal=_keys(top, "goal"),
--- a/ospreybridge/net/loop.py
+++ b/ospreybridge/net/loop.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
-from ospreybridge.core.timers import Timers
+from ospreybridge.core.timers import TimerQueue
 from ospreybridge.net.worker import Work, Worker
 
 READ, WRITE, SLEEP, WORK = "read", "write", "sleep", "work"
 # (READ or WRITE, file descriptor), (SLEEP, milliseconds) or (WORK, what runs on the thread and never raises)
-Trap = tuple[str, float | Work]
-Task = Generator[Trap, None, None]
+WaitRequest = tuple[str, float | Work]
+Task = Generator[WaitRequest, None, None]
 LONGEST_WAIT = 1_000.0  # ms of one epoll wait, so that a stop from another thread of control is seen
 
 
@@ -27,10 +27,10 @@
     """Thrown into a task by `interrupt`."""
 
 
-class Loop:
+class EventLoop:
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.timers = Timers()
+        self.timers = TimerQueue()
         self.epoll = select.epoll()
         self.readers: dict[int, Task] = {}
         self.writers: dict[int, Task | Callable[[], None]] = {}
@@ -39,7 +39,7 @@
         self.worker: Worker | None = None
         self.running = True
         self.now = clock() * 1_000.0  # ms; never goes back within a run
-        self.failed: Callable[[str, BaseException], None] | None = None
+        self.on_task_error: Callable[[str, BaseException], None] | None = None
 
     # -- tasks
 
@@ -58,9 +58,9 @@
             return
         except Exception as caught:
             # One task's defect must not end the others' calls; it is told, loudly.
-            if self.failed is None:
+            if self.on_task_error is None:
                 raise
-            self.failed(getattr(task, "__name__", "task"), caught)
+            self.on_task_error(getattr(task, "__name__", "task"), caught)
             return
         if callable(value):
             if self.worker is None:
@@ -74,7 +74,7 @@
             self.writers[int(value)] = task
             self._mask(int(value))
         else:
-            self.timers.at(self.now + value, lambda now: self._step(task))
+            self.timers.schedule(self.now + value, lambda now: self._step(task))
 
     def _working(self, worker: Worker) -> Task:
         while True:
@@ -106,7 +106,7 @@
         self.writers[fd] = call
         self._mask(fd)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """To be called before a socket is closed."""
         # First of all: the last reference to a waiting task may be the one to its socket too.
         if self.masks.pop(fd, None) is not None:
@@ -116,8 +116,8 @@
 
     # -- turns
 
-    def turn(self, longest: float = LONGEST_WAIT) -> None:
-        due = self.timers.next()
+    def run_once(self, longest: float = LONGEST_WAIT) -> None:
+        due = self.timers.next_due()
         wait = longest if due is None else min(longest, max(0.0, due - self.clock() * 1_000.0))
         ready = self.epoll.poll(wait / 1_000.0)
         self.now = max(self.now, self.clock() * 1_000.0)
@@ -138,11 +138,11 @@
                 if fd in self.masks:
                     self._mask(fd)
         try:
-            self.timers.run(self.now)
+            self.timers.run_due(self.now)
         except Exception as caught:  # as with a task: the other timers run in the next turn
-            if self.failed is None:
+            if self.on_task_error is None:
                 raise
-            self.failed("timer", caught)
+            self.on_task_error("timer", caught)
         while self.flushing:
             streams, self.flushing = self.flushing, []
             for stream in streams:
@@ -150,7 +150,7 @@
 
     def run(self) -> None:
         while self.running:
-            self.turn()
+            self.run_once()
 
     def run_until(self, condition: Callable[[], bool], within: float) -> bool:
         """Turns until the condition holds; False after `within` milliseconds."""
@@ -158,7 +158,7 @@
         while not condition():
             if self.clock() * 1_000.0 >= end:
                 return False
-            self.turn(20.0)
+            self.run_once(20.0)
         return True
 
     def on_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
@@ -182,7 +182,7 @@
 
     def close(self) -> None:
         for fd in list(self.masks):
-            self.forget(fd)
+            self.unregister(fd)
         if self.worker is not None:
             self.worker.close()
         self.epoll.close()
--- a/ospreybridge/net/tcp.py
+++ b/ospreybridge/net/tcp.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable, Generator
 
-from ospreybridge.net.loop import READ, WRITE, Loop, Task, TimedOut, Trap
+from ospreybridge.net.loop import READ, WRITE, EventLoop, Task, TimedOut, WaitRequest
 
 CHUNK = 65_536
 MOST_ACCEPTS = 4  # connections taken in a turn: a crowd at the door must not hold up standing links
@@ -16,17 +16,17 @@
 class Stream:
     """One connection. Writes are gathered and leave once a turn; too many unread ones end it."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, limit: int = 1 << 20) -> None:
+    def __init__(self, loop: EventLoop, sock: socket.socket, limit: int = 1 << 20) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.loop, self.sock, self.fd, self.limit = loop, sock, sock.fileno(), limit
-        self.out: list[bytes] = []
+        self.loop, self.sock, self.fd, self.max_unsent_bytes = loop, sock, sock.fileno(), limit
+        self.unsent: list[bytes] = []
         self.size = 0
         self.queued = self.blocked = self.closed = False
-        self.wrote = False  # anything at all
+        self.has_written = False  # anything at all
         self.on_close: Callable[[str], None] | None = None
 
-    def read(self) -> Generator[Trap, None, bytes]:
+    def read(self) -> Generator[WaitRequest, None, bytes]:
         """What has come, at most 64 KiB; empty at the end of the stream or once it is closed."""
         while not self.closed:
             yield READ, self.fd
@@ -43,10 +43,10 @@
     def write(self, data: bytes) -> None:
         if self.closed:
             return
-        self.wrote = True
-        self.out.append(data)
+        self.has_written = True
+        self.unsent.append(data)
         self.size += len(data)
-        if self.size > self.limit:
+        if self.size > self.max_unsent_bytes:
             # A peer that never reads must not take the memory that other peers' calls need.
             self.close("the peer does not read")
         elif not self.queued and not self.blocked:
@@ -55,16 +55,16 @@
 
     def flush(self) -> None:
         self.queued = False
-        if self.closed or not self.out:
+        if self.closed or not self.unsent:
             return
-        data = self.out[0] if len(self.out) == 1 else b"".join(self.out)
+        data = self.unsent[0] if len(self.unsent) == 1 else b"".join(self.unsent)
         try:
             sent = self._send(data)
         except OSError as error:
             self.close(f"write failed: {errno.errorcode.get(error.errno or 0, '?')}")
             return
         rest = data[sent:]
-        self.out, self.size = ([rest] if rest else []), len(rest)
+        self.unsent, self.size = ([rest] if rest else []), len(rest)
         if rest:
             self.blocked = True
             self.loop.when_writable(self.fd, self._writable)
@@ -84,14 +84,16 @@
         if self.closed:
             return
         self.closed = True
-        self.loop.forget(self.fd)
+        self.loop.unregister(self.fd)
         self.sock.close()
-        self.out, self.size = [], 0
+        self.unsent, self.size = [], 0
         if self.on_close is not None:
             self.on_close(reason)
 
 
-def dial(loop: Loop, address: tuple[str, int], within: float) -> Generator[Trap, None, socket.socket]:
+def connect(
+    loop: EventLoop, address: tuple[str, int], within: float
+) -> Generator[WaitRequest, None, socket.socket]:
     """A connected socket; OSError (TimeoutError included) where none could be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -101,15 +103,15 @@
         sock.close()
         raise OSError(code, os.strerror(code))
     fd = sock.fileno()
-    late = loop.timers.at(loop.now + within, lambda now: loop.interrupt(fd))
+    late = loop.timers.schedule(loop.now + within, lambda now: loop.interrupt(fd))
     try:
         yield WRITE, fd
     except TimedOut:
-        loop.forget(fd)
+        loop.unregister(fd)
         sock.close()
         raise TimeoutError("no answer to the connect") from None
     late.cancel()
-    loop.forget(fd)
+    loop.unregister(fd)
     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         sock.close()
@@ -117,7 +119,7 @@
     return sock
 
 
-def listening(address: tuple[str, int]) -> socket.socket:
+def listen(address: tuple[str, int]) -> socket.socket:
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -127,7 +129,9 @@
     return sock
 
 
-def accepting(loop: Loop, sock: socket.socket, accepted: Callable[[socket.socket], None]) -> Task:
+def accept_connections(
+    loop: EventLoop, sock: socket.socket, accepted: Callable[[socket.socket], None]
+) -> Task:
     while True:
         yield READ, sock.fileno()
         for _ in range(MOST_ACCEPTS):
