--- a/ospreybridge/net/tls.py
+++ b/ospreybridge/net/tls.py
@@ -9,69 +9,77 @@
 import time
 from collections.abc import Callable, Generator
 
-from ospreybridge.core.handshakes import Handshakes
-from ospreybridge.keys import facts as read_facts
-from ospreybridge.keys import judge
-from ospreybridge.keys.facts import Facts
-from ospreybridge.keys.judge import Reason
-from ospreybridge.keys.material import Material, MaterialError
-from ospreybridge.net.loop import READ, WORK, WRITE, Loop, TimedOut, Trap
+from ospreybridge.core.handshakes import HandshakeScheduler
+from ospreybridge.keys import certificate_info as read_facts
+from ospreybridge.keys import validation
+from ospreybridge.keys.certificate_info import CertificateInfo
+from ospreybridge.keys.credentials import Credentials, CredentialsError
+from ospreybridge.keys.validation import FailureReason
+from ospreybridge.net.loop import READ, WORK, WRITE, EventLoop, TimedOut, WaitRequest
 from ospreybridge.net.tcp import CHUNK, Stream
 
 # OpenSSL's X509_V_ERR_* (openssl/x509_vfy.h), as far as a peer's chain brings them about.
 _VERIFY = {
-    2: Reason.UNKNOWN_ISSUER, 7: Reason.UNKNOWN_ISSUER, 9: Reason.NOT_YET, 10: Reason.EXPIRED,
-    18: Reason.UNKNOWN_ISSUER, 19: Reason.UNKNOWN_ISSUER, 20: Reason.UNKNOWN_ISSUER,
-    21: Reason.UNKNOWN_ISSUER, 23: Reason.REVOKED, 24: Reason.UNKNOWN_ISSUER, 26: Reason.WRONG_PURPOSE,
-    66: Reason.WEAK_KEY, 67: Reason.WEAK_KEY, 68: Reason.WEAK_KEY,
-    79: Reason.UNKNOWN_ISSUER,
+    2: FailureReason.UNKNOWN_ISSUER, 7: FailureReason.UNKNOWN_ISSUER, 9: FailureReason.NOT_YET_VALID,
+    10: FailureReason.EXPIRED, 18: FailureReason.UNKNOWN_ISSUER, 19: FailureReason.UNKNOWN_ISSUER,
+    20: FailureReason.UNKNOWN_ISSUER, 21: FailureReason.UNKNOWN_ISSUER, 23: FailureReason.REVOKED,
+    24: FailureReason.UNKNOWN_ISSUER, 26: FailureReason.WRONG_PURPOSE, 66: FailureReason.WEAK_KEY,
+    67: FailureReason.WEAK_KEY, 68: FailureReason.WEAK_KEY, 79: FailureReason.UNKNOWN_ISSUER,
 }  # fmt: skip
 # OpenSSL's names of library errors, without the alerts, which all begin alike.
 _LIBRARY = {
-    "PEER_DID_NOT_RETURN_A_CERTIFICATE": Reason.NO_CERTIFICATE, "WRONG_VERSION_NUMBER": Reason.NOT_TLS,
-    "HTTP_REQUEST": Reason.NOT_TLS, "HTTPS_PROXY_REQUEST": Reason.NOT_TLS,
-    "PACKET_LENGTH_TOO_LONG": Reason.NOT_TLS, "UNEXPECTED_MESSAGE": Reason.NOT_TLS,
-    "RECORD_LAYER_FAILURE": Reason.NOT_TLS, "UNSUPPORTED_PROTOCOL": Reason.OLD_VERSION,
-    "NO_PROTOCOLS_AVAILABLE": Reason.OLD_VERSION, "EE_KEY_TOO_SMALL": Reason.WEAK_KEY,
+    "PEER_DID_NOT_RETURN_A_CERTIFICATE": FailureReason.NO_CERTIFICATE,
+    "WRONG_VERSION_NUMBER": FailureReason.NOT_TLS, "HTTP_REQUEST": FailureReason.NOT_TLS,
+    "HTTPS_PROXY_REQUEST": FailureReason.NOT_TLS, "PACKET_LENGTH_TOO_LONG": FailureReason.NOT_TLS,
+    "UNEXPECTED_MESSAGE": FailureReason.NOT_TLS, "RECORD_LAYER_FAILURE": FailureReason.NOT_TLS,
+    "UNSUPPORTED_PROTOCOL": FailureReason.NO_COMMON_VERSION,
+    "NO_PROTOCOLS_AVAILABLE": FailureReason.NO_COMMON_VERSION, "EE_KEY_TOO_SMALL": FailureReason.WEAK_KEY,
 }  # fmt: skip
 _OLD_ALERT = "TLSV1_ALERT_PROTOCOL_VERSION"
-STANDIN_WITHIN, STANDIN_BUFFER = 5_000.0, 1 << 24  # ms of a stand-in's handshake, octets it may have unread
-BROKEN = "tls: "  # begins the reason of a stream that ended against the protocol
+STANDIN_HANDSHAKE_TIMEOUT_MS, STANDIN_BUFFER = (
+    5_000.0,
+    1 << 24,
+)  # ms of a stand-in's handshake, octets it may have unread
+PROTOCOL_ERROR_PREFIX = "tls: "  # begins the reason of a stream that ended against the protocol
 
 
-class Refused(Exception):
+class HandshakeError(Exception):
     """A handshake that came to nothing; `reason` is its one name, `detail` what the library or judge said."""
 
-    def __init__(self, reason: Reason, detail: str = "") -> None:
+    def __init__(self, reason: FailureReason, detail: str = "") -> None:
         super().__init__(f"{reason}{': ' if detail else ''}{detail}")
         self.reason, self.detail = reason, detail
 
 
-def reason_of(error: BaseException) -> Reason:
+def reason_of(error: BaseException) -> FailureReason:
     if isinstance(error, ssl.SSLCertVerificationError):
-        return _VERIFY.get(error.verify_code, Reason.UNREADABLE)
+        return _VERIFY.get(error.verify_code, FailureReason.UNREADABLE_CERTIFICATE)
     if isinstance(error, ssl.SSLEOFError | ssl.SSLZeroReturnError | ssl.SSLSyscallError):
-        return Reason.CLOSED
+        return FailureReason.CLOSED_IN_HANDSHAKE
     if isinstance(error, ssl.SSLError):
         name = error.reason or ""
         if name == _OLD_ALERT:
-            return Reason.OLD_VERSION
-        return Reason.REFUSED if "ALERT" in name else _LIBRARY.get(name, Reason.BROKEN)
-    return Reason.CLOSED
+            return FailureReason.NO_COMMON_VERSION
+        return (
+            FailureReason.REFUSED_BY_PEER
+            if "ALERT" in name
+            else _LIBRARY.get(name, FailureReason.BROKEN_RECORD)
+        )
+    return FailureReason.CLOSED_IN_HANDSHAKE
 
 
-class Contexts:
+class TlsContexts:
     """The two contexts of one set. `renew_tickets` makes a server context whose ticket keys are new."""
 
-    def __init__(self, material: Material, allow_12: bool = False, tickets: bool = True) -> None:
+    def __init__(self, material: Credentials, allow_12: bool = False, tickets: bool = True) -> None:
         """MaterialError where OpenSSL would not use the set, or would not believe its own certificate."""
-        self.material, self.allow_12, self.tickets = material, allow_12, tickets
+        self.credentials, self.allow_12, self.tickets = material, allow_12, tickets
         try:
             self.client = self._made(ssl.PROTOCOL_TLS_CLIENT)
             self.renew_tickets()
             self._shake_hands_with_itself()
         except ssl.SSLError as error:
-            raise MaterialError([f"the set is not usable: {reason_of(error)}: {error}"]) from None
+            raise CredentialsError([f"the set is not usable: {reason_of(error)}: {error}"]) from None
 
     def renew_tickets(self) -> None:
         self.server = self._made(ssl.PROTOCOL_TLS_SERVER)
@@ -91,34 +99,34 @@
         chain = os.memfd_create("certificate", os.MFD_CLOEXEC)
         key = os.memfd_create("key", os.MFD_CLOEXEC)
         try:
-            for descriptor, data in ((chain, self.material.certificate), (key, self.material.key)):
+            for descriptor, data in ((chain, self.credentials.certificate), (key, self.credentials.key)):
                 while data:
                     data = data[os.write(descriptor, data) :]
             context.load_cert_chain(f"/proc/self/fd/{chain}", f"/proc/self/fd/{key}")
         finally:
             os.close(chain)
             os.close(key)
-        context.load_verify_locations(cadata=self.material.trust.decode("ascii", "replace"))
+        context.load_verify_locations(cadata=self.credentials.trust.decode("ascii", "replace"))
         return context
 
-    def dialled(
+    def connect(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
-        pace: Handshakes,
+        pace: HandshakeScheduler,
         name: str,
         session: ssl.SSLSession | None = None,
-    ) -> Generator[Trap, None, TlsStream]:
+    ) -> Generator[WaitRequest, None, TlsStream]:
         """A stream to the peer of that name, for stand-ins; Refused where it is somebody else."""
 
         def wrap(plain: socket.socket) -> ssl.SSLSocket:
             return self.wrap_client(plain, name, session)
 
-        secured = yield from shake(loop, sock, wrap, pace, STANDIN_WITHIN)
+        secured = yield from handshake(loop, sock, wrap, pace, STANDIN_HANDSHAKE_TIMEOUT_MS)
         stream = TlsStream(loop, secured, STANDIN_BUFFER)
-        if not judge.named(peer_facts(secured), name, False):
-            stream.close(str(Reason.WRONG_NAME))
-            raise Refused(Reason.WRONG_NAME)
+        if not validation.certificate_has_name(peer_certificate(secured), name, False):
+            stream.close(str(FailureReason.WRONG_NAME))
+            raise HandshakeError(FailureReason.WRONG_NAME)
         return stream
 
     def wrap_client(self, sock: socket.socket, name: str, session: ssl.SSLSession | None) -> ssl.SSLSocket:
@@ -154,15 +162,15 @@
         raise ssl.SSLError("the set does not finish a handshake with itself")
 
 
-def peer_facts(sock: ssl.SSLSocket) -> Facts:
+def peer_certificate(sock: ssl.SSLSocket) -> CertificateInfo:
     """What the far end showed, in a resumed session what it showed in the full handshake."""
     der = sock.getpeercert(True)
     if not der:
-        raise Refused(Reason.NO_CERTIFICATE)
+        raise HandshakeError(FailureReason.NO_CERTIFICATE)
     try:
         return read_facts.read(der)
     except ValueError as error:
-        raise Refused(Reason.UNREADABLE, str(error)) from None
+        raise HandshakeError(FailureReason.UNREADABLE_CERTIFICATE, str(error)) from None
 
 
 class _Step:
@@ -184,14 +192,14 @@
         self.took = 1_000.0 * (time.thread_time() - begun)
 
 
-def shake(
-    loop: Loop,
+def handshake(
+    loop: EventLoop,
     sock: socket.socket,
     wrap: Callable[[socket.socket], ssl.SSLSocket],
-    pace: Handshakes,
+    pace: HandshakeScheduler,
     within: float,
     key: int = 0,
-) -> Generator[Trap, None, ssl.SSLSocket]:
+) -> Generator[WaitRequest, None, ssl.SSLSocket]:
     """Shakes hands without holding the loop; Refused if it comes to nothing. The socket is closed then.
 
     `key`: the slot it holds in `pace`; 0 for one that was dialled and has none.
@@ -199,7 +207,7 @@
     sock.setblocking(False)
     end = loop.now + within
     fd = sock.fileno()
-    late = loop.timers.at(end, lambda now: loop.interrupt(fd))
+    late = loop.timers.schedule(end, lambda now: loop.interrupt(fd))
     tls: ssl.SSLSocket | None = None
     try:
         tls = wrap(sock)
@@ -208,15 +216,17 @@
         while True:
             if wants is not None:
                 yield wants, fd
-            at = pace.book(loop.now)
+            at = pace.schedule_step(loop.now)
             if at > loop.now:
                 yield "sleep", at - loop.now
-            if loop.now >= end or not pace.holds(key):  # late, or its slot was given to another meanwhile
+            if loop.now >= end or not pace.holds_slot(
+                key
+            ):  # late, or its slot was given to another meanwhile
                 raise TimedOut
-            pace.progressed(loop.now, key)
+            pace.record_progress(loop.now, key)
             step = _Step(tls)
             yield WORK, step
-            pace.took(step.took)
+            pace.record_cost(step.took)
             if step.error is None:
                 return tls
             if isinstance(step.error, ssl.SSLWantReadError):
@@ -227,17 +237,17 @@
                 raise step.error
     except TimedOut:
         _drop(loop, tls or sock)
-        raise Refused(Reason.STOPPED) from None
+        raise HandshakeError(FailureReason.HANDSHAKE_TIMEOUT) from None
     except OSError as error:
         _drop(loop, tls or sock)
-        raise Refused(reason_of(error), str(error)) from None
+        raise HandshakeError(reason_of(error), str(error)) from None
     finally:
         late.cancel()
 
 
-def _drop(loop: Loop, sock: socket.socket) -> None:
+def _drop(loop: EventLoop, sock: socket.socket) -> None:
     if sock.fileno() >= 0:
-        loop.forget(sock.fileno())
+        loop.unregister(sock.fileno())
         sock.close()
 
 
@@ -253,7 +263,7 @@
     reads = 0
     several = False  # the last read found more than one record
 
-    def read(self) -> Generator[Trap, None, bytes]:
+    def read(self) -> Generator[WaitRequest, None, bytes]:
         while not self.closed:
             if self.failed is None:
                 yield READ, self.fd
@@ -287,10 +297,14 @@
 
     def _ended(self, error: OSError) -> None:
         if isinstance(error, ssl.SSLError) and not isinstance(error, ssl.SSLEOFError | ssl.SSLSyscallError):
-            reason = Reason.REFUSED if "ALERT" in (error.reason or "") else Reason.BROKEN
-            self.close(f"{BROKEN}{reason}: {error.reason or error}")
+            reason = (
+                FailureReason.REFUSED_BY_PEER
+                if "ALERT" in (error.reason or "")
+                else FailureReason.BROKEN_RECORD
+            )
+            self.close(f"{PROTOCOL_ERROR_PREFIX}{reason}: {error.reason or error}")
         else:
-            self.close(f"{BROKEN}{Reason.TRUNCATED}")
+            self.close(f"{PROTOCOL_ERROR_PREFIX}{FailureReason.TRUNCATED}")
 
     def _send(self, data: bytes) -> int:
         try:
@@ -299,7 +313,7 @@
             return 0
 
     def close(self, reason: str) -> None:
-        if not self.closed and not reason.startswith(BROKEN):
+        if not self.closed and not reason.startswith(PROTOCOL_ERROR_PREFIX):
             with contextlib.suppress(OSError, ValueError):
                 self.sock.unwrap()  # sends close_notify; the far end's is not waited for
         super().close(reason)
--- a/ospreybridge/policy.py
+++ b/ospreybridge/policy.py
@@ -20,29 +20,29 @@
     Cancel,
     Discovery,
     Entry,
+    Established,
     Event,
     Fail,
-    Follow,
-    Group,
     Layout,
     ListForm,
     Members,
     Note,
+    NotifyPeers,
     Outcome,
-    Peer,
+    PeerMessage,
     Probed,
     Readiness,
     Refuse,
     Remark,
-    Remind,
     Request,
     Result,
+    RetryScope,
     Semantics,
     Send,
     Settings,
-    Stands,
-    Tell,
-    Timer,
+    StartTimer,
+    Subscribe,
+    TimerExpired,
 )
 
 MARK_AGE = 10_000.0  # ms a turn-back keeps (tandem, destination) marked; the design's own value
@@ -78,8 +78,8 @@
     """What is known of one exchange (or pool): its own-group circuits and how it answers set-ups."""
 
     def __init__(self, entry: Entry) -> None:
-        self.office, self.cell, self.zone = entry.office, entry.cell, entry.zone
-        self.state, self.started = entry.readiness, entry.started
+        self.office, self.cell, self.zone = entry.office, entry.exchange, entry.zone
+        self.state, self.started = entry.readiness, entry.started_at
         self.free, self.size, self.kept = float("inf"), 0.0, 1.0  # an unknown group counts as open
         self.window, self.told = WINDOW_START, False  # told: a log line says that it gets a trickle only
         self.pending: dict[tuple[int, int], float] = {}  # unanswered set-ups and when each was sent
@@ -106,10 +106,12 @@
 
 class Controller:
     def __init__(self, settings: Settings, seed: int) -> None:
-        check(settings)
+        check_settings(settings)
         self.s, self.random = settings, Random(seed)
         self.mesh = settings.layout is Layout.MESH
-        self.own = Exchange(Entry(-1, settings.here))  # on the way of every own set-up: one window for all
+        self.own = Exchange(
+            Entry(-1, settings.own_exchange)
+        )  # on the way of every own set-up: one window for all
         self.offices: dict[int, Exchange] = {}
         self.ready: dict[int, Exchange] = {}  # those that take calls, by number
         self.calls: dict[int, Call] = {}
@@ -127,16 +129,16 @@
         self.setup = 0.0  # ms a set-up that stands usually takes
         self.born = -1.0  # time of the first event
         self.polling, self.look = False, False
-        self.out: list[Action] = [Follow(True)] if settings.discovery is Discovery.SUBSCRIBE else []
+        self.out: list[Action] = [Subscribe(True)] if settings.discovery is Discovery.SUBSCRIBE else []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
             Request: self._request,
-            Stands: self._stands,
+            Established: self._stands,
             Outcome: self._outcome,
             Probed: self._circuits,
             Members: self._members,
             CallerLeft: self._left,
-            Timer: self._timer,
-            Peer: self._peer,
+            TimerExpired: self._timer,
+            PeerMessage: self._peer,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -145,7 +147,7 @@
         handler = self.handlers.get(type(event))
         if handler is not None:
             handler(now, event)
-        looks = type(event) is Members or (type(event) is Timer and event.label >= POLL_LABEL)
+        looks = type(event) is Members or (type(event) is TimerExpired and event.label >= POLL_LABEL)
         for call in list(self.waiting.values()) if looks else ():
             self._waits(now, call)
         if self.look and self.waiting and self._open(now, self.own):
@@ -158,22 +160,26 @@
 
     def _members(self, now: float, event: Members) -> None:
         if event.form is ListForm.FAILED:
-            self.out.append(Remind(POLL_LABEL + 1, self.s.rules.ask_within * self.random.uniform(0.1, 0.3)))
+            self.out.append(
+                StartTimer(POLL_LABEL + 1, self.s.rules.ask_within * self.random.uniform(0.1, 0.3))
+            )
             return
         if not self.offices and self.mesh and self.s.limits.peer_messages:
-            self.out.append(Remind(POLL_LABEL + 2, self.aim * self.random.random() + self.s.tick))
+            self.out.append(StartTimer(POLL_LABEL + 2, self.aim * self.random.random() + self.s.tick))
         listed, started = {entry.office for entry in event.entries}, []
         for entry in event.entries:
             known = self.offices.get(entry.office)
-            fresh = known is None or (entry.started != known.started and entry.readiness is Readiness.READY)
+            fresh = known is None or (
+                entry.started_at != known.started and entry.readiness is Readiness.READY
+            )
             if known is None:
                 known = Exchange(entry)
                 for old in self.offices.values():  # a new processor takes over the groups of the old
-                    if old.cell == entry.cell:
+                    if old.cell == entry.exchange:
                         known.free, known.size, known.kept = old.free, old.size, old.kept
                         known.paced, known.paced_at = old.paced, old.paced_at
                 self.offices[entry.office] = known
-            known.state, known.started, known.cell = entry.readiness, entry.started, entry.cell
+            known.state, known.started, known.cell = entry.readiness, entry.started_at, entry.exchange
             if fresh:
                 started.append(known)
         self.offices = {
@@ -199,11 +205,11 @@
         Guards against dozens of tandems found full one by one. Harm: seconds old; a lost one changes nothing.
         """
         full = sum(1 << x.cell for x in self.ready.values() if x.free < 1.0 + x.kept and x.cell < 2_000)
-        body = self.s.here.to_bytes(2, "little") + full.to_bytes(full.bit_length() // 8 + 1, "little")
-        self.out.append(Tell(None, body))
-        self.out.append(Remind(POLL_LABEL + 2, NEWS_EVERY * MARK_AGE * self.random.uniform(0.9, 1.1)))
+        body = self.s.own_exchange.to_bytes(2, "little") + full.to_bytes(full.bit_length() // 8 + 1, "little")
+        self.out.append(NotifyPeers(None, body))
+        self.out.append(StartTimer(POLL_LABEL + 2, NEWS_EVERY * MARK_AGE * self.random.uniform(0.9, 1.1)))
 
-    def _peer(self, now: float, event: Peer) -> None:
+    def _peer(self, now: float, event: PeerMessage) -> None:
         sender, full = int.from_bytes(event.body[:2], "little"), int.from_bytes(event.body[2:], "little")
         for cell in self.ready if len(event.body) > 2 and sender in self.ready else ():
             if full >> cell & 1:
@@ -212,25 +218,25 @@
     # -- calls come and go
 
     def _request(self, now: float, request: Request) -> None:
-        call = Call(request, self.s.classes[request.cls], now, SPARE_TICKS * self.s.tick)
+        call = Call(request, self.s.classes[request.class_index], now, SPARE_TICKS * self.s.tick)
         call.part = self._tenant_part(now, request)
         self._redial(now, call)
         self.calls[request.ref] = call
         # A call to the own exchange, handed over while another server was down, has no route: back at once.
-        stray = call.last <= now or request.dest == self.s.here
+        stray = call.last <= now or request.dest == self.s.own_exchange
         if stray or (request.transit and not self._transit(now, call)):
             self._end(now, call)
         elif not request.transit and self._waits(now, call):
             self.look = True
-            self.out.append(Remind(request.ref, call.last - now))
+            self.out.append(StartTimer(request.ref, call.last - now))
 
     def _redial(self, now: float, call: Call) -> None:
         """A caller that dials again is judged by its first try, marked or not: the aim ran on meanwhile."""
         request = call.request
-        if request.transit or request.cut or (self.s.marks_retry and not request.again):
+        if request.transit or request.after_cut or (self.s.redials_marked and not request.redial):
             return
-        first = self.unserved.pop((request.number, request.dest, request.cls), None)
-        if first is None and request.again:
+        first = self.unserved.pop((request.called_number, request.dest, request.class_index), None)
+        if first is None and request.redial:
             first = now - call.kind.on_time
         if first is not None and now - first < call.kind.deadline:
             call.first, call.aim_at = first, min(first + call.kind.on_time, request.expires)
@@ -239,7 +245,7 @@
         request = call.request
         if request.transit:
             return
-        self.unserved[(request.number, request.dest, request.cls)] = call.first
+        self.unserved[(request.called_number, request.dest, request.class_index)] = call.first
         oldest = next(iter(self.unserved))
         if now - self.unserved[oldest] > call.kind.deadline:
             del self.unserved[oldest]
@@ -301,7 +307,7 @@
         self.calls.pop(ref, None)
         self._unqueue(ref)
         self._unserved(now, call)
-        guarded_by_all = call.kind.semantics is Semantics.GUARDED and call.kind.group is Group.ALL
+        guarded_by_all = call.kind.semantics is Semantics.GUARDED and call.kind.retry_scope is RetryScope.ALL
         harmless = not call.doubt or call.kind.semantics is Semantics.FREE or guarded_by_all
         # Back after as long again as it waited in vain, or when the next set-up may go.
         wait = max(now - call.came, dest.resumes - now, self.own.resumes - now) if dest else float("inf")
@@ -314,9 +320,11 @@
             return True
         if call.kind.semantics is Semantics.SINGLE_SHOT or now >= call.group_end or call.group_of is None:
             return False
-        if call.kind.group is Group.ZONE:
+        if call.kind.retry_scope is RetryScope.ZONE:
             return to.zone == call.group_of.zone
-        return call.kind.group is Group.ALL or (to.cell == call.group_of.cell and to.cell in self.ready)
+        return call.kind.retry_scope is RetryScope.ALL or (
+            to.cell == call.group_of.cell and to.cell in self.ready
+        )
 
     def _left(self, now: float, event: CallerLeft) -> None:
         call = self.calls.pop(event.ref, None)
@@ -335,7 +343,7 @@
         dest = self.ready.get(call.request.dest)
         if dest is None or not self._room(dest, call, True):
             worth *= self.hold / (call.request.width * max(1.0, kind.hold))  # circuits are short, not set-ups
-        if call.request.cut:
+        if call.request.after_cut:
             worth *= CUT_WORTH
         if now >= call.aim_at:
             worth *= kind.late_worth
@@ -375,7 +383,7 @@
         able = [
             x
             for x in self.ready.values()
-            if x.free >= 1.0 + x.kept and self._open(now, x) and x.cell != self.s.here
+            if x.free >= 1.0 + x.kept and self._open(now, x) and x.cell != self.s.own_exchange
         ]
         moving = []
         for cell, queue in self.queues.items():
@@ -418,7 +426,7 @@
             x
             for x in able
             if x.cell != dest.cell
-            and (self.mesh or x.cell in call.kind.cells)
+            and (self.mesh or x.cell in call.kind.allowed_pools)
             and self.marks.get((x.cell, dest.cell), 0.0) <= now
             and self._open(now, x)
             and self._room(x, call, True)
@@ -428,7 +436,7 @@
             most = max(x.free for x in tandems)
             tandem = self.random.choice([x for x in tandems if x.free == most])
             # Here only the first leg is seen; after a turn-back the centre, late, knows more of the second.
-            if self.s.advice and (call.turned or dest.backs > 1):
+            if self.s.route_advice and (call.turned or dest.backs > 1):
                 tandem = next((x for x in tandems if x.cell == call.request.via), tandem)
             self._send(now, call, tandem, [tandem, dest] if self.mesh else [tandem])
 
@@ -451,26 +459,26 @@
         self.recent.append(now)
         to.free -= call.request.width
         if call.group_of is None:
-            call.group_of, call.group_end = to, now + call.kind.window
+            call.group_of, call.group_end = to, now + call.kind.retry_window
         call.attempts, call.sent_to = call.attempts + 1, to
         self.out.append(Send(ref, to.office, max(1.0, limit)))
 
     # -- answers
 
-    def _stands(self, now: float, event: Stands) -> None:
+    def _stands(self, now: float, event: Established) -> None:
         leg = (event.ref, event.attempt)
         if leg not in self.legs:
             return
         path, _, dest = self.legs[leg]
         call = self.calls.get(event.ref)
         for x in (*path, self.own):
-            self._answered(now, x, leg, event.took, call.kind.on_time if call else self.aim, path)
+            self._answered(now, x, leg, event.elapsed, call.kind.on_time if call else self.aim, path)
         if len(path) > 1:
             path[1].backs = 0
             self.marks.pop((path[0].cell, dest), None)
         if call is not None:
             call.stands = True
-            self.setup += 0.0 if call.request.transit else SMOOTH * (event.took - self.setup)
+            self.setup += 0.0 if call.request.transit else SMOOTH * (event.elapsed - self.setup)
 
     def _answered(
         self, now: float, x: Exchange, leg: tuple[int, int], took: float, aim: float, path: list[Exchange]
@@ -533,13 +541,13 @@
         result, note = event.result, event.note
         if result in (Result.TIMEOUT, Result.CONNECT_FAILED) and not stood:
             for x in (*path, self.own):
-                self._narrow(now, x, sent, event.took, path)
+                self._narrow(now, x, sent, event.elapsed, path)
         elif result is Result.FULL and note is Note.PROCESSOR_FULL:
             # It answers fast, so its gap is not measured by the answer: many servers would ask all the time.
-            self._narrow(now, path[0], sent, max(event.wait, PAUSE * self.aim), path)
-            path[0].resumes = max(path[0].resumes, now + event.wait, now + PAUSE * self.aim)
+            self._narrow(now, path[0], sent, max(event.retry_after, PAUSE * self.aim), path)
+            path[0].resumes = max(path[0].resumes, now + event.retry_after, now + PAUSE * self.aim)
         elif result is Result.FULL and note is Note.TURNED_BACK:
-            if event.wait > 0:
+            if event.retry_after > 0:
                 self._narrow(now, path[-1], sent, PAUSE * self.aim, path)
             elif len(path) > 1:
                 self.marks[(path[0].cell, dest)] = now + MARK_AGE
@@ -548,14 +556,14 @@
                 gap = min(MARK_AGE, BACK_GAP * self._usual(now) * (path[1].backs - 1))
                 path[1].overflows = now + gap * self.random.uniform(0.5, 1.5)
         elif result is Result.MOOT and note is Note.PROCESSOR_FULL:  # the own processor is down
-            self.own.resumes = max(self.own.resumes, now + max(event.wait, PAUSE * self.aim))
+            self.own.resumes = max(self.own.resumes, now + max(event.retry_after, PAUSE * self.aim))
         call = self.calls.get(event.ref)
         if call is None or call.attempts - 1 != event.attempt:
             return
         call.sent_to = None
         if note is Note.NO_CIRCUIT and event.report is None:
             path[0].free = min(path[0].free, call.request.width - 1.0)  # a pair may have no group at all
-        if event.ended or stood:
+        if event.call_ended or stood:
             self.calls.pop(event.ref, None)
             return
         call.doubt = call.doubt or result not in NEVER_RAN
@@ -564,7 +572,7 @@
         call.turned += result is Result.FULL and note is Note.TURNED_BACK
         call.ready_at = now + (self.s.rules.release + self.s.tick if result in DOUBTFUL else 0.0)
         # An exchange that errs at random stands the next try; one that says why (lines busy) says it again.
-        spent = call.ready_at >= call.last or call.attempts >= self.s.limits.most_tries
+        spent = call.ready_at >= call.last or call.attempts >= self.s.limits.max_tries
         if spent or call.request.transit or (result is Result.ERROR and note is not Note.NONE):
             self._end(now, call)
         else:
@@ -575,20 +583,20 @@
     def _poll(self) -> None:
         if self.waiting and not self.polling:
             self.polling = True
-            self.out.append(Remind(POLL_LABEL, max(self.s.tick, POLL * self.aim)))
+            self.out.append(StartTimer(POLL_LABEL, max(self.s.tick, POLL * self.aim)))
 
-    def _timer(self, now: float, event: Timer) -> None:
+    def _timer(self, now: float, event: TimerExpired) -> None:
         if event.label == POLL_LABEL:
             self.polling, self.look = False, True
         elif event.label == POLL_LABEL + 1:
-            self.out.append(Follow(True))
+            self.out.append(Subscribe(True))
         elif event.label == POLL_LABEL + 2:
             self._tell()
         elif event.label in self.waiting:
             self._end(now, self.waiting[event.label])
 
 
-def check(settings: Settings) -> None:
+def check_settings(settings: Settings) -> None:
     """Settings that make no sense are refused by the name of their key."""
     rules = settings.rules
     times = [
@@ -604,7 +612,7 @@
     for number, kind in enumerate(settings.classes):
         key = f"Classes.{number}."
         needed += [(key + "OnTime", kind.on_time), (key + "Deadline", kind.deadline)]
-        times += [(key + "hold", kind.hold), (key + "Window", kind.window)]
+        times += [(key + "hold", kind.hold), (key + "Window", kind.retry_window)]
     wrong = [item for item in times if item[1] < 0] + [item for item in needed if item[1] <= 0]
     if wrong:
         raise ValueError(f"{wrong[0][0]}: {wrong[0][1]} makes no sense")
--- a/ospreybridge/settings/faults.py
+++ b/ospreybridge/settings/errors.py
@@ -8,4 +8,4 @@
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
-        self.faults = faults
+        self.errors = faults
--- a/ospreybridge/settings/instance.py
+++ b/ospreybridge/settings/instance.py
@@ -23,18 +23,18 @@
 }
 
 
-class Pairs:
+class SettingPairs:
     """The path=value lines of the settings; an absent key leaves the interface's own value."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     @classmethod
-    def of_text(cls, text: str) -> Pairs:
+    def from_text(cls, text: str) -> SettingPairs:
         return cls(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
     @classmethod
-    def of_object(cls, tree: dict[str, Any]) -> Pairs:
+    def from_json(cls, tree: dict[str, Any]) -> SettingPairs:
         """The same pairs from nested JSON; ValueError names a key whose form makes no sense."""
         return cls(dict(flatten(tree)))
 
@@ -89,7 +89,7 @@
 
 LIMITS = {
     "cancel": ("Cancel", _flag),
-    "most_tries": ("MostTries", _count),
+    "max_tries": ("MostTries", _count),
     "probes": ("Probes", _flag),
     "peer_messages": ("PeerMessages", _flag),
     "retry_after": ("RetryAfter", _flag),
@@ -117,27 +117,27 @@
     "importance": ("Importance", float),
     "late_worth": ("LateWorth", float),
     "semantics": ("Semantics", i.Semantics),
-    "group": ("Group", i.Group),
-    "window": ("Window", float),
+    "retry_scope": ("Group", i.RetryScope),
+    "retry_window": ("Window", float),
     "name": ("Name", str),
 }
 TENANT = {"quota_per_s": ("QuotaPerS", float), "share": ("Share", float), "name": ("Name", str)}
 TOP = {
     "layout": ("FamilyInfo.Layout", i.Layout),
     "discovery": ("Discovery", i.Discovery),
-    "here": ("FamilyInfo.ThisNode", _count),
-    "me": ("Me", _count),
-    "peers": ("PeersTotal", _count),
+    "own_exchange": ("FamilyInfo.ThisNode", _count),
+    "server_index": ("Me", _count),
+    "server_count": ("PeersTotal", _count),
     "zone": ("Locality", _count),
     "tick": ("Round", float),
     "over_share_worth": ("OverShareWorth", float),
-    "marks_retry": ("Callers.MarksRetry", _flag),
-    "tells_wait": ("FamilyInfo.TellsWait", _flag),
-    "advice": ("FamilyInfo.RouteAdvice", _flag),
+    "redials_marked": ("Callers.MarksRetry", _flag),
+    "reports_wait": ("FamilyInfo.TellsWait", _flag),
+    "route_advice": ("FamilyInfo.RouteAdvice", _flag),
 }
 
 
-def _classes(pairs: Pairs) -> tuple[i.CallClass, ...]:
+def _classes(pairs: SettingPairs) -> tuple[i.CallClass, ...]:
     holds, widths = pairs.items("FamilyInfo.ClassHold"), pairs.items("FamilyInfo.ClassWidth")
     classes = []
     for index in range(_count(pairs.values.get("Classes.count", "0"))):
@@ -148,12 +148,12 @@
         if index < len(widths):
             fields["width"] = float(widths[index])
         cells = pairs.items(f"FamilyInfo.ClassCells.{index}")
-        fields["cells"] = tuple(_count(cell) for cell in cells)
+        fields["allowed_pools"] = tuple(_count(cell) for cell in cells)
         classes.append(i.CallClass(**fields))  # type: ignore[arg-type]
     return tuple(classes)
 
 
-def read(pairs: Pairs) -> tuple[i.Settings, tuple[str, ...]]:
+def read_settings(pairs: SettingPairs) -> tuple[i.Settings, tuple[str, ...]]:
     """Settings for the controller, and the columns of its load reports; ValueError names the key."""
     tenants = tuple(
         i.Tenant(**pairs.fill(f"Customers.{index}.", TENANT))  # type: ignore[arg-type]
--- a/ospreybridge/settings/platform.py
+++ b/ospreybridge/settings/platform.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from ospreybridge import interface as i
-from ospreybridge.policy import check
-from ospreybridge.settings.faults import SettingsError
-from ospreybridge.settings.instance import Pairs, read
+from ospreybridge.policy import check_settings
+from ospreybridge.settings.errors import SettingsError
+from ospreybridge.settings.instance import SettingPairs, read_settings
 from ospreybridge.signalling import frames
 
 Address = tuple[str, int]
-STATES = {"up": frames.READY, "draining": frames.DRAINING, "removed": frames.GONE}
+STATES = {"up": frames.READY, "draining": frames.DRAINING, "removed": frames.REMOVED}
 THOUSANDTHS = 1_000.0
 NOWHERE: Address = ("0.0.0.0", 0)
 
@@ -131,11 +131,11 @@
 
 def _member(
     checks: _Checks, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
-) -> frames.Record | None:
+) -> frames.OfficeRecord | None:
     before = len(checks.faults)
     office = checks.get(tree, f"{key}.id", frames.office_id)
     state = checks.get(tree, f"{key}.phase", _state)
-    gone = state == frames.GONE  # nothing more is needed of it
+    gone = state == frames.REMOVED  # nothing more is needed of it
     host, port = checks.get(tree, f"{key}.host_port", address, NOWHERE if gone else None) or NOWHERE
     zone = checks.get(tree, f"{key}.locality", _place(zones), 0 if gone else None)
     kind = checks.get(tree, f"{key}.flavor", _place(kinds), 0)
@@ -144,7 +144,9 @@
     started = checks.get(tree, f"{key}.up_since_ms", _whole(0, 1 << 53), 0)
     if len(checks.faults) > before:
         return None
-    return frames.Record(office, host, port, state, zone, kind, cell, int(weight * THOUSANDTHS), started)
+    return frames.OfficeRecord(
+        office, host, port, state, zone, kind, cell, int(weight * THOUSANDTHS), started
+    )
 
 
 def _known(
@@ -164,7 +166,7 @@
         for at, member in enumerate(members):
             tree = member if isinstance(member, dict) else {}
             records.append(_member(checks, f"{key}.hosts.members.{at}", tree, zones, kinds))
-        kind = frames.WHOLE if hosts.get("complete") else frames.CHANGES
+        kind = frames.FULL_LIST if hosts.get("complete") else frames.CHANGES
         found.append(frames.Frame(number or 0, kind, tuple(r for r in records if r is not None)))
     return tuple(found)
 
@@ -191,9 +193,9 @@
     raw = checks.get(tree, "settings", _tree)
     if raw is not None:
         try:
-            pairs = Pairs.of_object(raw)
-            settings, columns = read(pairs)
-            check(settings)
+            pairs = SettingPairs.from_json(raw)
+            settings, columns = read_settings(pairs)
+            check_settings(settings)
             zones, kinds = tuple(raw.get("Zones") or ()), tuple(raw.get("Kinds") or ())
         except (ValueError, TypeError) as error:
             checks.fault("settings", str(error))
--- a/ospreybridge/settings/reader.py
+++ b/ospreybridge/settings/reader.py
@@ -12,49 +12,49 @@
 from kdl.parsing import ParseConfig, Parser
 from kdl.types import Node
 
-from ospreybridge.settings.faults import SettingsError
+from ospreybridge.settings.errors import SettingsError
 
-Convert = Callable[[Any], Any]  # a KDL value to ours; ValueError says what was expected
+Converter = Callable[[Any], Any]  # a KDL value to ours; ValueError says what was expected
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
-    convert: Convert
+class ValueSpec:
+    convert: Converter
     default: Any = None
-    needed: bool = False
+    required: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
+class NodeSpec:
     """What a node may hold: one argument (or several), properties by key, children by name."""
 
-    argument: Key | None = None
-    keys: Mapping[str, Key] = field(default_factory=dict)
-    children: Mapping[str, Form] = field(default_factory=dict)
-    several: bool = False  # arguments, not one
+    argument: ValueSpec | None = None
+    properties: Mapping[str, ValueSpec] = field(default_factory=dict)
+    children: Mapping[str, NodeSpec] = field(default_factory=dict)
+    many_arguments: bool = False  # arguments, not one
 
 
 @dataclass(slots=True)
-class Part:
+class ParsedNode:
     """A checked node: its line, its argument(s), its properties with defaults filled in, its children."""
 
     line: int
     argument: Any
-    values: dict[str, Any]
-    children: dict[str, list[Part]]
+    properties: dict[str, Any]
+    children: dict[str, list[ParsedNode]]
 
     def __getitem__(self, key: str) -> Any:
-        return self.values[key]
+        return self.properties[key]
 
-    def all(self, name: str) -> list[Part]:
+    def children_named(self, name: str) -> list[ParsedNode]:
         return self.children.get(name, [])
 
-    def one(self, name: str) -> Part | None:
+    def first_child(self, name: str) -> ParsedNode | None:
         found = self.children.get(name)
         return found[0] if found else None
 
-    def arguments(self, name: str) -> list[Any]:
-        return [value for part in self.all(name) for value in part.argument]
+    def all_arguments(self, name: str) -> list[Any]:
+        return [value for part in self.children_named(name) for value in part.argument]
 
 
 def text(value: Any) -> str:
@@ -69,7 +69,7 @@
     return value
 
 
-def number(low: float, high: float) -> Convert:
+def number(low: float, high: float) -> Converter:
     def convert(value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise ValueError(f"a number from {low:g} to {high:g}")
@@ -78,7 +78,7 @@
     return convert
 
 
-def whole(low: int, high: int) -> Convert:
+def integer(low: int, high: int) -> Converter:
     def convert(value: Any) -> int:
         whole_number = isinstance(value, int | float) and not isinstance(value, bool) and value == int(value)
         if not whole_number or not low <= value <= high:
@@ -94,7 +94,7 @@
     return value
 
 
-def choice(*names: str) -> Convert:
+def choice(*names: str) -> Converter:
     def convert(value: Any) -> str:
         if value not in names:
             raise ValueError("one of " + ", ".join(names))
@@ -115,10 +115,10 @@
         self.path = path
         self.faults: list[str] = []
 
-    def fault(self, line: int, key: str, wanted: str) -> None:
+    def add_error(self, line: int, key: str, wanted: str) -> None:
         self.faults.append(f"{self.path}:{line}: {key}: {wanted}")
 
-    def read(self, form: Form) -> Part:
+    def read(self, form: NodeSpec) -> ParsedNode:
         """The whole document as one part; faults are collected, call `check` when done."""
         try:
             source = self.path.read_text()
@@ -137,56 +137,56 @@
             at = f"{self.path}:{error.line}:{error.col}"
             raise SettingsError([f"{at}: not KDL: {error.msg.splitlines()[-1].strip()}"]) from None
         children = self._children("", 1, document.nodes, form, lines)
-        return Part(1, None, {}, children)
+        return ParsedNode(1, None, {}, children)
 
-    def check(self) -> None:
+    def raise_errors(self) -> None:
         if self.faults:
             raise SettingsError(self.faults)
 
     def _children(
-        self, where: str, line: int, nodes: list[Node], form: Form, lines: dict[int, int]
-    ) -> dict[str, list[Part]]:
-        children: dict[str, list[Part]] = {}
+        self, where: str, line: int, nodes: list[Node], form: NodeSpec, lines: dict[int, int]
+    ) -> dict[str, list[ParsedNode]]:
+        children: dict[str, list[ParsedNode]] = {}
         for node in nodes:
             key = f"{where}{node.name}"
             child = form.children.get(node.name)
             if child is None:
                 known = ", ".join(sorted(form.children)) or "nothing"
-                self.fault(lines[id(node)], key, f"unknown; expected {known}")
+                self.add_error(lines[id(node)], key, f"unknown; expected {known}")
             else:
                 children.setdefault(node.name, []).append(self._node(key, node, child, lines))
         return children
 
-    def _node(self, key: str, node: Node, form: Form, lines: dict[int, int]) -> Part:
+    def _node(self, key: str, node: Node, form: NodeSpec, lines: dict[int, int]) -> ParsedNode:
         line = lines[id(node)]
         arguments = [self._value(line, key, form.argument, value) for value in node.args]
         if form.argument is None and arguments:
-            self.fault(line, key, "takes no argument")
-        elif form.argument is not None and not form.several and len(arguments) > 1:
-            self.fault(line, key, "takes one argument")
-        elif form.argument is not None and form.argument.needed and not arguments:
-            self.fault(line, key, "an argument is missing")
+            self.add_error(line, key, "takes no argument")
+        elif form.argument is not None and not form.many_arguments and len(arguments) > 1:
+            self.add_error(line, key, "takes one argument")
+        elif form.argument is not None and form.argument.required and not arguments:
+            self.add_error(line, key, "an argument is missing")
         values = {}
         for name, value in node.props.items():
-            if name not in form.keys:
-                known = ", ".join(sorted(form.keys)) or "none"
-                self.fault(line, f"{key} {name}", f"unknown; expected {known}")
+            if name not in form.properties:
+                known = ", ".join(sorted(form.properties)) or "none"
+                self.add_error(line, f"{key} {name}", f"unknown; expected {known}")
             else:
-                values[name] = self._value(line, f"{key} {name}", form.keys[name], value)
-        for name, wanted in form.keys.items():
+                values[name] = self._value(line, f"{key} {name}", form.properties[name], value)
+        for name, wanted in form.properties.items():
             if name not in values:
-                if wanted.needed:
-                    self.fault(line, f"{key} {name}", "missing")
+                if wanted.required:
+                    self.add_error(line, f"{key} {name}", "missing")
                 values[name] = wanted.default
-        argument: Any = arguments if form.several else (arguments[0] if arguments else None)
+        argument: Any = arguments if form.many_arguments else (arguments[0] if arguments else None)
         children = self._children(key + " / ", line, node.nodes, form, lines)
-        return Part(line, argument, values, children)
+        return ParsedNode(line, argument, values, children)
 
-    def _value(self, line: int, key: str, wanted: Key | None, value: Any) -> Any:
+    def _value(self, line: int, key: str, wanted: ValueSpec | None, value: Any) -> Any:
         if wanted is None:
             return None
         try:
             return wanted.convert(value)
         except ValueError as error:
-            self.fault(line, key, f"expected {error}, found {value!r}")
+            self.add_error(line, key, f"expected {error}, found {value!r}")
             return wanted.default
--- a/ospreybridge/settings/server.py
+++ b/ospreybridge/settings/server.py
@@ -8,25 +8,25 @@
 from typing import Any
 
 from ospreybridge import interface as i
-from ospreybridge.keys.material import Paths
-from ospreybridge.policy import check as check_module
-from ospreybridge.settings.faults import SettingsError
+from ospreybridge.keys.credentials import CredentialPaths
+from ospreybridge.policy import check_settings as check_module
+from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.reader import (
-    Form,
-    Key,
-    Part,
+    NodeSpec,
+    ParsedNode,
     Reader,
+    ValueSpec,
     address,
     choice,
     digits,
     flag,
+    integer,
     number,
     text,
-    whole,
 )
 
 MS = number(0, 4e9)
-POINT_CODE = whole(0, 16_383)
+POINT_CODE = integer(0, 16_383)
 
 
 def dns_name(value: Any) -> str:
@@ -36,7 +36,7 @@
     return value.lower()
 
 
-PREFIX = Form(Key(digits, needed=True), several=True)
+PREFIX = NodeSpec(ValueSpec(digits, required=True), many_arguments=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,20 +46,20 @@
     name: str
     role: str  # exchange, office (the own exchange's lines), callers, list, centre
     point_code: int
-    context: int
+    routing_context: int
     number: int = -1
     zone: int = 0
-    dial: tuple[str, int] | None = None  # where we dial it; None: it dials us
+    dial_address: tuple[str, int] | None = None  # where we dial it; None: it dials us
     cics: tuple[int, ...] = ()
-    tls: str = ""  # DNS name its certificate must show; empty: plain, as the settings say
+    tls_name: str = ""  # DNS name its certificate must show; empty: plain, as the settings say
     wildcard: bool = False  # the certificate may show *.rest for it
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
+class TlsSettings:
     """Where the own set lies, and the bounds of handshakes, tickets and links. Times in milliseconds."""
 
-    paths: Paths
+    paths: CredentialPaths
     name: str = ""  # what the own certificate must say; empty: anything
     listen: tuple[str, int] | None = None
     allow_12: bool = False
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timers:
+class TimerSettings:
     """Q.764 timers and those of the associations, all in milliseconds, with the recommendation's values."""
 
     t1: float = 15_000.0  # REL is sent again
@@ -91,11 +91,11 @@
 @dataclass(frozen=True, slots=True)
 class ClassRule:
     categories: tuple[int, ...]
-    called: tuple[str, ...]
+    called_prefixes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class ServerSettings:
     name: str
     number: int
     point_code: int
@@ -111,7 +111,7 @@
     rules: i.Rules
     limits: i.Limits
     goal: i.Goal
-    timers: Timers = field(default_factory=Timers)
+    timers: TimerSettings = field(default_factory=TimerSettings)
     tick: float = 5.0
     over_share_worth: float = 1.0
     advice: bool = False
@@ -120,21 +120,21 @@
     answer_margin: float = 100.0  # ms of a caller's time kept for the answer's way, a tenth of it at most
     seed: int = 0
     path: str = ""
-    tls: Tls | None = None
+    tls: TlsSettings | None = None
 
-    def module(self) -> i.Settings:
+    def controller_settings(self) -> i.Settings:
         """What the module is told at its start."""
         return i.Settings(
             classes=self.classes,
             tenants=self.tenants,
-            here=self.number,
-            me=self.number,
-            peers=1 + sum(peer.role == "exchange" for peer in self.peers),
+            own_exchange=self.number,
+            server_index=self.number,
+            server_count=1 + sum(peer.role == "exchange" for peer in self.peers),
             zone=self.zone,
             tick=self.tick,
             over_share_worth=self.over_share_worth,
-            tells_wait=True,
-            advice=self.advice,
+            reports_wait=True,
+            route_advice=self.advice,
             goal=self.goal,
             limits=self.limits,
             rules=self.rules,
@@ -142,112 +142,117 @@
 
 
 _RULES = {
-    "release": Key(MS, 200.0),
-    "drain-grace": Key(MS, 250.0),
-    "warm-after": Key(MS, 14_000.0),
-    "overload-for": Key(MS, 1_500.0),
-    "overload-factor": Key(number(1, 100), 2.5),
-    "cold-share": Key(number(0.01, 1), 0.3),
-    "ask-within": Key(MS, 10_000.0),
+    "release": ValueSpec(MS, 200.0),
+    "drain-grace": ValueSpec(MS, 250.0),
+    "warm-after": ValueSpec(MS, 14_000.0),
+    "overload-for": ValueSpec(MS, 1_500.0),
+    "overload-factor": ValueSpec(number(1, 100), 2.5),
+    "cold-share": ValueSpec(number(0.01, 1), 0.3),
+    "ask-within": ValueSpec(MS, 10_000.0),
 }
 _LIMITS = {
-    "tries": Key(whole(1, 20), 4),
-    "retry-after": Key(MS, 2_000.0),
-    "peer-messages": Key(flag, True),
-    "probes": Key(flag, False),
+    "tries": ValueSpec(integer(1, 20), 4),
+    "retry-after": ValueSpec(MS, 2_000.0),
+    "peer-messages": ValueSpec(flag, True),
+    "probes": ValueSpec(flag, False),
 }
-_GOAL = {name: Key(number(0, 1), 0.0) for name in ("whole", "worst-window", "worst-class", "worst-tenant")}
-_TIMERS = {name: Key(MS) for name in Timers.__dataclass_fields__}
-CLASS = Form(
-    Key(text, needed=True),
+_GOAL = {
+    name: ValueSpec(number(0, 1), 0.0) for name in ("whole", "worst-window", "worst-class", "worst-tenant")
+}
+_TIMERS = {name: ValueSpec(MS) for name in TimerSettings.__dataclass_fields__}
+CLASS = NodeSpec(
+    ValueSpec(text, required=True),
+    {
+        "on-time": ValueSpec(number(1, 1e7), required=True),
+        "deadline": ValueSpec(number(1, 1e7), required=True),
+        "importance": ValueSpec(number(0, 1e6), 1.0),
+        "late-worth": ValueSpec(number(0, 1), 0.0),
+        "width": ValueSpec(integer(1, 2), 1),
+        "hold": ValueSpec(MS, 10_000.0),
+    },
     {
-        "on-time": Key(number(1, 1e7), needed=True),
-        "deadline": Key(number(1, 1e7), needed=True),
-        "importance": Key(number(0, 1e6), 1.0),
-        "late-worth": Key(number(0, 1), 0.0),
-        "width": Key(whole(1, 2), 1),
-        "hold": Key(MS, 10_000.0),
+        "category": NodeSpec(ValueSpec(integer(0, 255), required=True), many_arguments=True),
+        "called-prefix": PREFIX,
     },
-    {"category": Form(Key(whole(0, 255), needed=True), several=True), "called-prefix": PREFIX},
 )
-TENANT = Form(
-    Key(text, needed=True),
-    {"share": Key(number(0, 1), 0.0), "quota": Key(number(0, 1e6), 0.0)},
+TENANT = NodeSpec(
+    ValueSpec(text, required=True),
+    {"share": ValueSpec(number(0, 1), 0.0), "quota": ValueSpec(number(0, 1e6), 0.0)},
     {"calling-prefix": PREFIX},
 )
-PEER = Form(
-    Key(text, needed=True),
+PEER = NodeSpec(
+    ValueSpec(text, required=True),
     {
-        "role": Key(choice("exchange", "office", "callers", "list", "centre"), "exchange", True),
-        "point-code": Key(POINT_CODE, 0, True),
-        "context": Key(whole(0, 2**32 - 1), 0, True),
-        "number": Key(whole(0, 1_999), -1),
-        "zone": Key(text, ""),
-        "dial": Key(address),
-        "tls": Key(dns_name, ""),
-        "wildcard": Key(flag, False),
-        "plain": Key(flag, False),
+        "role": ValueSpec(choice("exchange", "office", "callers", "list", "centre"), "exchange", True),
+        "point-code": ValueSpec(POINT_CODE, 0, True),
+        "context": ValueSpec(integer(0, 2**32 - 1), 0, True),
+        "number": ValueSpec(integer(0, 1_999), -1),
+        "zone": ValueSpec(text, ""),
+        "dial": ValueSpec(address),
+        "tls": ValueSpec(dns_name, ""),
+        "wildcard": ValueSpec(flag, False),
+        "plain": ValueSpec(flag, False),
     },
-    {"circuits": Form(Key(text, needed=True), several=True), "prefix": PREFIX},
+    {"circuits": NodeSpec(ValueSpec(text, required=True), many_arguments=True), "prefix": PREFIX},
 )
-TLS = Form(
-    keys={
-        "certificate": Key(text, "", True),
-        "key": Key(text, "", True),
-        "trust": Key(text, "", True),
-        "revoked": Key(text),
-        "name": Key(dns_name, ""),
-        "listen": Key(address),
-        "allow-1.2": Key(flag, False),
-        "ticket-age": Key(MS),
-        "link-age": Key(number(1, 4e9)),
-        "spread": Key(MS),
-        "slots": Key(whole(1, 10_000)),
-        "check-every": Key(number(100, 4e9)),
+TLS = NodeSpec(
+    properties={
+        "certificate": ValueSpec(text, "", True),
+        "key": ValueSpec(text, "", True),
+        "trust": ValueSpec(text, "", True),
+        "revoked": ValueSpec(text),
+        "name": ValueSpec(dns_name, ""),
+        "listen": ValueSpec(address),
+        "allow-1.2": ValueSpec(flag, False),
+        "ticket-age": ValueSpec(MS),
+        "link-age": ValueSpec(number(1, 4e9)),
+        "spread": ValueSpec(MS),
+        "slots": ValueSpec(integer(1, 10_000)),
+        "check-every": ValueSpec(number(100, 4e9)),
     },
-    children={"warn-days": Form(Key(number(0, 3_650), needed=True), several=True)},
+    children={"warn-days": NodeSpec(ValueSpec(number(0, 3_650), required=True), many_arguments=True)},
 )
-FORM = Form(
+SERVER_SPEC = NodeSpec(
     children={
-        "exchange": Form(
-            Key(text, "", True),
+        "exchange": NodeSpec(
+            ValueSpec(text, "", True),
             {
-                "number": Key(whole(0, 1_999), 0, True),
-                "point-code": Key(POINT_CODE, 0, True),
-                "zone": Key(text, ""),
-                "listen": Key(address),
-                "network-indicator": Key(whole(0, 3), 2),
+                "number": ValueSpec(integer(0, 1_999), 0, True),
+                "point-code": ValueSpec(POINT_CODE, 0, True),
+                "zone": ValueSpec(text, ""),
+                "listen": ValueSpec(address),
+                "network-indicator": ValueSpec(integer(0, 3), 2),
             },
             {"prefix": PREFIX},
         ),
         "peer": PEER,
         "class": CLASS,
         "tenant": TENANT,
-        "rules": Form(keys=_RULES),
-        "limits": Form(keys=_LIMITS),
-        "goal": Form(keys=_GOAL),
-        "timers": Form(keys=_TIMERS),
-        "module": Form(
-            keys={
-                "tick": Key(number(0, 1_000), 5.0),
-                "seed": Key(whole(0, 2**32), 0),
-                "advice": Key(flag, False),
-                "over-share-worth": Key(number(0, 1), 1.0),
+        "rules": NodeSpec(properties=_RULES),
+        "limits": NodeSpec(properties=_LIMITS),
+        "goal": NodeSpec(properties=_GOAL),
+        "timers": NodeSpec(properties=_TIMERS),
+        "module": NodeSpec(
+            properties={
+                "tick": ValueSpec(number(0, 1_000), 5.0),
+                "seed": ValueSpec(integer(0, 2**32), 0),
+                "advice": ValueSpec(flag, False),
+                "over-share-worth": ValueSpec(number(0, 1), 1.0),
             }
         ),
         "tls": TLS,
-        "stop": Form(keys={"within": Key(number(100, 600_000), 10_000.0)}),
-        "link": Form(
-            keys={
-                "out-buffer": Key(whole(4_096, 1 << 30), 1 << 20),
-                "answer-margin": Key(MS, 100.0),
+        "stop": NodeSpec(properties={"within": ValueSpec(number(100, 600_000), 10_000.0)}),
+        "link": NodeSpec(
+            properties={
+                "out-buffer": ValueSpec(integer(4_096, 1 << 30), 1 << 20),
+                "answer-margin": ValueSpec(MS, 100.0),
             }
         ),
     }
 )
 
 
-def circuits(ranges: list[str]) -> tuple[int, ...]:
+def parse_cic_ranges(ranges: list[str]) -> tuple[int, ...]:
     """CICs of ranges such as "1-31"; slot 0 of each 32 is no circuit in a 2048 kbit/s multiplex."""
     found: set[int] = set()
     for item in ranges:
@@ -258,11 +263,11 @@
     return tuple(sorted(found))
 
 
-def _defaults(form: Form, part: Part | None) -> dict[str, Any]:
-    return {name: part[name] if part else key.default for name, key in form.keys.items()}
+def _defaults(form: NodeSpec, part: ParsedNode | None) -> dict[str, Any]:
+    return {name: part[name] if part else key.default for name, key in form.properties.items()}
 
 
-def _tls(part: Part | None, folder: Path) -> Tls | None:
+def _tls(part: ParsedNode | None, folder: Path) -> TlsSettings | None:
     """Paths are taken from the folder of the settings file."""
     if part is None:
         return None
@@ -272,60 +277,62 @@
         for name in ("ticket_age", "link_age", "spread", "slots", "check_every")
         if part[name.replace("_", "-")] is not None
     }
-    if days := part.arguments("warn-days"):
+    if days := part.all_arguments("warn-days"):
         given["warn_days"] = tuple(days)
-    return Tls(Paths(**at), part["name"], part["listen"], part["allow-1.2"], **given)
+    return TlsSettings(CredentialPaths(**at), part["name"], part["listen"], part["allow-1.2"], **given)
 
 
-def load(path: Path) -> Server:
+def load(path: Path) -> ServerSettings:
     """The whole file, checked; SettingsError names every fault."""
     reader = Reader(path)
-    top = reader.read(FORM)
-    own = top.one("exchange")
-    if own is None or len(top.all("exchange")) != 1:
-        reader.fault(1, "exchange", "exactly one is needed")
-    if not top.all("class"):
-        reader.fault(1, "class", "at least one is needed")
+    top = reader.read(SERVER_SPEC)
+    own = top.first_child("exchange")
+    if own is None or len(top.children_named("exchange")) != 1:
+        reader.add_error(1, "exchange", "exactly one is needed")
+    if not top.children_named("class"):
+        reader.add_error(1, "class", "at least one is needed")
     for name in ("rules", "limits", "goal", "timers", "module", "stop", "link", "tls"):
-        for extra in top.all(name)[1:]:
-            reader.fault(extra.line, name, "stands more than once")
-    reader.check()
+        for extra in top.children_named(name)[1:]:
+            reader.add_error(extra.line, name, "stands more than once")
+    reader.raise_errors()
     assert own is not None
-    zones = sorted({part["zone"] for part in [own, *top.all("peer")]})
+    zones = sorted({part["zone"] for part in [own, *top.children_named("peer")]})
     prefixes: dict[str, int] = {}
     peers: list[Peer] = []
     seen: dict[tuple[str, Any], int] = {("point-code", own["point-code"]): own.line}
     seen["number", own["number"]] = own.line
 
-    def once(part: Part, key: str, value: Any) -> None:
+    def once(part: ParsedNode, key: str, value: Any) -> None:
         if (key, value) in seen:
-            reader.fault(part.line, f"peer {key}", f"{value} stands already in line {seen[key, value]}")
+            reader.add_error(part.line, f"peer {key}", f"{value} stands already in line {seen[key, value]}")
         seen[key, value] = part.line
 
-    def lead(part: Part, exchange: int) -> None:
-        for prefix in part.arguments("prefix"):
+    def lead(part: ParsedNode, exchange: int) -> None:
+        for prefix in part.all_arguments("prefix"):
             if prefix in prefixes:
-                reader.fault(part.line, "prefix", f"{prefix} leads to exchange {prefixes[prefix]} already")
+                reader.add_error(
+                    part.line, "prefix", f"{prefix} leads to exchange {prefixes[prefix]} already"
+                )
             prefixes[prefix] = exchange
 
     lead(own, own["number"])
-    for part in top.all("peer"):
+    for part in top.children_named("peer"):
         once(part, "name", part.argument)
         once(part, "point-code", part["point-code"])
         once(part, "context", part["context"])
         if part["role"] == "exchange":
             if part["number"] < 0:
-                reader.fault(part.line, "peer number", "missing for an exchange")
+                reader.add_error(part.line, "peer number", "missing for an exchange")
             once(part, "number", part["number"])
             lead(part, part["number"])
         if bool(part["tls"]) == part["plain"]:
             expected = 'either tls="the DNS name of its certificate" or plain=true'
-            reader.fault(part.line, "peer tls", f"expected {expected}")
+            reader.add_error(part.line, "peer tls", f"expected {expected}")
         cics: tuple[int, ...] = ()
         try:
-            cics = circuits(part.arguments("circuits"))
+            cics = parse_cic_ranges(part.all_arguments("circuits"))
         except ValueError as error:
-            reader.fault(part.line, "peer / circuits", f"expected {error}")
+            reader.add_error(part.line, "peer / circuits", f"expected {error}")
         peers.append(
             Peer(
                 part.argument,
@@ -341,11 +348,11 @@
             )
         )
     if sum(peer.role == "office" for peer in peers) > 1:
-        reader.fault(own.line, "peer", "only one office: the own exchange's lines")
+        reader.add_error(own.line, "peer", "only one office: the own exchange's lines")
     classes, class_rules = [], []
-    for part in top.all("class"):
+    for part in top.children_named("class"):
         if part["deadline"] < part["on-time"]:
-            reader.fault(part.line, "class deadline", f"at least on-time, {part['on-time']:g}")
+            reader.add_error(part.line, "class deadline", f"at least on-time, {part['on-time']:g}")
         classes.append(
             i.CallClass(
                 part["on-time"],
@@ -358,21 +365,21 @@
             )
         )
         class_rules.append(
-            ClassRule(tuple(part.arguments("category")), tuple(part.arguments("called-prefix")))
+            ClassRule(tuple(part.all_arguments("category")), tuple(part.all_arguments("called-prefix")))
         )
     tenants, tenant_prefixes = [], {}
-    for index, part in enumerate(top.all("tenant")):
+    for index, part in enumerate(top.children_named("tenant")):
         tenants.append(i.Tenant(part["quota"], part["share"], part.argument))
-        for prefix in part.arguments("calling-prefix"):
+        for prefix in part.all_arguments("calling-prefix"):
             if prefix in tenant_prefixes:
-                reader.fault(part.line, "tenant calling-prefix", f"{prefix} is another tenant's already")
+                reader.add_error(part.line, "tenant calling-prefix", f"{prefix} is another tenant's already")
             tenant_prefixes[prefix] = index
-    rules = _defaults(FORM.children["rules"], top.one("rules"))
-    limits = _defaults(FORM.children["limits"], top.one("limits"))
-    goal = _defaults(FORM.children["goal"], top.one("goal"))
-    timers = (top.one("timers") or Part(0, 0, {}, {})).values
-    module = _defaults(FORM.children["module"], top.one("module"))
-    server = Server(
+    rules = _defaults(SERVER_SPEC.children["rules"], top.first_child("rules"))
+    limits = _defaults(SERVER_SPEC.children["limits"], top.first_child("limits"))
+    goal = _defaults(SERVER_SPEC.children["goal"], top.first_child("goal"))
+    timers = (top.first_child("timers") or ParsedNode(0, 0, {}, {})).properties
+    module = _defaults(SERVER_SPEC.children["module"], top.first_child("module"))
+    server = ServerSettings(
         name=own.argument,
         number=own["number"],
         point_code=own["point-code"],
@@ -388,35 +395,37 @@
         rules=i.Rules(**{name.replace("-", "_"): value for name, value in rules.items()}),
         limits=i.Limits(
             cancel=True,
-            most_tries=limits["tries"],
+            max_tries=limits["tries"],
             probes=limits["probes"],
             peer_messages=limits["peer-messages"],
             retry_after=limits["retry-after"] > 0,
             max_retry_after=limits["retry-after"],
         ),
         goal=i.Goal(**{name.replace("-", "_"): value for name, value in goal.items()})
-        if top.one("goal")
+        if top.first_child("goal")
         else i.Goal(),
-        timers=Timers(**{name: value for name, value in timers.items() if value is not None}),
+        timers=TimerSettings(**{name: value for name, value in timers.items() if value is not None}),
         tick=module["tick"],
         over_share_worth=module["over-share-worth"],
         advice=module["advice"],
-        stop_within=_defaults(FORM.children["stop"], top.one("stop"))["within"],
-        out_buffer=_defaults(FORM.children["link"], top.one("link"))["out-buffer"],
-        answer_margin=_defaults(FORM.children["link"], top.one("link"))["answer-margin"],
+        stop_within=_defaults(SERVER_SPEC.children["stop"], top.first_child("stop"))["within"],
+        out_buffer=_defaults(SERVER_SPEC.children["link"], top.first_child("link"))["out-buffer"],
+        answer_margin=_defaults(SERVER_SPEC.children["link"], top.first_child("link"))["answer-margin"],
         seed=module["seed"] or own["point-code"],
         path=str(path),
-        tls=_tls(top.one("tls"), path.parent),
+        tls=_tls(top.first_child("tls"), path.parent),
     )
-    if any(peer.dial is None and not peer.tls for peer in peers) and server.listen is None:
-        reader.fault(own.line, "exchange listen", "missing: some plain peer has no dial address")
-    for part, peer in zip(top.all("peer"), peers, strict=True):
-        if peer.tls and (server.tls is None or (peer.dial is None and server.tls.listen is None)):
+    if any(peer.dial_address is None and not peer.tls_name for peer in peers) and server.listen is None:
+        reader.add_error(own.line, "exchange listen", "missing: some plain peer has no dial address")
+    for part, peer in zip(top.children_named("peer"), peers, strict=True):
+        if peer.tls_name and (
+            server.tls is None or (peer.dial_address is None and server.tls.listen is None)
+        ):
             needed = "a tls node" if server.tls is None else "tls listen: it has no dial address"
-            reader.fault(part.line, "peer tls", f"needs {needed}")
-    reader.check()
+            reader.add_error(part.line, "peer tls", f"needs {needed}")
+    reader.raise_errors()
     try:
-        check_module(server.module())
+        check_module(server.controller_settings())
     except ValueError as error:
         raise SettingsError([f"{path}:{own.line}: {error}"]) from None
     return server
--- a/ospreybridge/signalling/causes.py
+++ b/ospreybridge/signalling/causes.py
@@ -2,26 +2,43 @@
 
 from __future__ import annotations
 
-UNALLOCATED, NO_ROUTE, NORMAL, BUSY, NO_USER, NO_ANSWER = 1, 3, 16, 17, 18, 19
-ROUTING = 25
-OUT_OF_ORDER, INVALID_NUMBER, UNSPECIFIED = 27, 28, 31
-NO_CIRCUIT, NETWORK_DOWN, TEMPORARY, CONGESTION, NOT_AVAILABLE = 34, 38, 41, 42, 47
-BEARER, UNKNOWN_MESSAGE, TIMER = 65, 97, 102
-PROTOCOL = 111
+UNALLOCATED_NUMBER, NO_ROUTE_TO_DESTINATION, NORMAL_CLEARING, USER_BUSY, NO_USER_RESPONDING, NO_ANSWER = (
+    1,
+    3,
+    16,
+    17,
+    18,
+    19,
+)
+EXCHANGE_ROUTING_ERROR = 25
+DESTINATION_OUT_OF_ORDER, INVALID_NUMBER_FORMAT, NORMAL_UNSPECIFIED = 27, 28, 31
+NO_CIRCUIT, NETWORK_OUT_OF_ORDER, TEMPORARY_FAILURE, CONGESTION, RESOURCE_UNAVAILABLE = 34, 38, 41, 42, 47
+BEARER_NOT_IMPLEMENTED, UNKNOWN_MESSAGE_TYPE, TIMER_EXPIRY = 65, 97, 102
+PROTOCOL_ERROR = 111
 
-USER, LOCAL_NETWORK, TRANSIT, REMOTE_NETWORK = 0, 2, 3, 4
+LOCATION_USER, LOCATION_LOCAL_NETWORK, LOCATION_TRANSIT, REMOTE_NETWORK = 0, 2, 3, 4
 
 NAMES = {
-    UNALLOCATED: "unallocated number", NO_ROUTE: "no route to destination", NORMAL: "normal call clearing",
-    BUSY: "user busy", NO_USER: "no user responding", NO_ANSWER: "no answer from user",
-    ROUTING: "exchange routing error",
-    OUT_OF_ORDER: "destination out of order", INVALID_NUMBER: "invalid number format",
-    UNSPECIFIED: "normal, unspecified", NO_CIRCUIT: "no circuit available",
-    NETWORK_DOWN: "network out of order", TEMPORARY: "temporary failure",
-    CONGESTION: "switching equipment congestion", NOT_AVAILABLE: "resource unavailable, unspecified",
-    BEARER: "bearer capability not implemented", UNKNOWN_MESSAGE: "message type not implemented",
-    TIMER: "recovery on timer expiry", PROTOCOL: "protocol error, unspecified",
-}  # fmt: skip
+    UNALLOCATED_NUMBER: "unallocated number",
+    NO_ROUTE_TO_DESTINATION: "no route to destination",
+    NORMAL_CLEARING: "normal call clearing",
+    USER_BUSY: "user busy",
+    NO_USER_RESPONDING: "no user responding",
+    NO_ANSWER: "no answer from user",
+    EXCHANGE_ROUTING_ERROR: "exchange routing error",
+    DESTINATION_OUT_OF_ORDER: "destination out of order",
+    INVALID_NUMBER_FORMAT: "invalid number format",
+    NORMAL_UNSPECIFIED: "normal, unspecified",
+    NO_CIRCUIT: "no circuit available",
+    NETWORK_OUT_OF_ORDER: "network out of order",
+    TEMPORARY_FAILURE: "temporary failure",
+    CONGESTION: "switching equipment congestion",
+    RESOURCE_UNAVAILABLE: "resource unavailable, unspecified",
+    BEARER_NOT_IMPLEMENTED: "bearer capability not implemented",
+    UNKNOWN_MESSAGE_TYPE: "message type not implemented",
+    TIMER_EXPIRY: "recovery on timer expiry",
+    PROTOCOL_ERROR: "protocol error, unspecified",
+}
 
 
 def name(cause: int) -> str:
--- a/ospreybridge/signalling/errors.py
+++ b/ospreybridge/signalling/errors.py
@@ -19,7 +19,7 @@
 
     def __init__(self, text: str, code: int = 0x07) -> None:
         super().__init__(text)
-        self.code = code
+        self.error_code = code
 
 
 class LocalError(Exception):
--- a/ospreybridge/signalling/frames.py
+++ b/ospreybridge/signalling/frames.py
@@ -14,15 +14,15 @@
 LENGTH = struct.Struct(">I")
 HEAD = struct.Struct(">QB")
 RECORD = struct.Struct(">IIHBBBHIQ")
-ASK = struct.Struct(">Q")
-NOTHING, WHOLE, CHANGES = 0, 1, 2
-READY, DRAINING, GONE = 0, 1, 2
+REQUEST = struct.Struct(">Q")
+NO_CHANGES, FULL_LIST, CHANGES = 0, 1, 2
+READY, DRAINING, REMOVED = 0, 1, 2
 MOST_RECORDS = 20_000
 LONGEST = HEAD.size + MOST_RECORDS * RECORD.size
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class OfficeRecord:
     """One office; `zone` and `kind` are places in the settings' lists, `started` is in Unix ms."""
 
     id: int
@@ -33,41 +33,41 @@
     kind: int
     cell: int
     weight: int
-    started: int
+    started_unix_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
     number: int
     kind: int
-    records: tuple[Record, ...] = ()
+    records: tuple[OfficeRecord, ...] = ()
 
 
 class Splitter:
     """Octets in, whole frames out. `broken` says why nothing after the last frame given can be read."""
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.broken = ""
+        self.buffer = b""
+        self.error = ""
 
     def feed(self, data: bytes) -> list[Frame]:
-        self.rest += data
+        self.buffer += data
         found: list[Frame] = []
-        while not self.broken and len(self.rest) >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self.rest)
+        while not self.error and len(self.buffer) >= LENGTH.size:
+            (length,) = LENGTH.unpack_from(self.buffer)
             if not HEAD.size <= length <= LONGEST:
-                self.broken = f"a frame of {length} octets"
-            elif len(self.rest) < LENGTH.size + length:
+                self.error = f"a frame of {length} octets"
+            elif len(self.buffer) < LENGTH.size + length:
                 break
             else:
-                body = self.rest[LENGTH.size : LENGTH.size + length]
-                self.rest = self.rest[LENGTH.size + length :]
+                body = self.buffer[LENGTH.size : LENGTH.size + length]
+                self.buffer = self.buffer[LENGTH.size + length :]
                 try:
                     found.append(decode(body))
                 except FrameError as error:
-                    self.broken = str(error)
-        if self.broken:
-            self.rest = b""
+                    self.error = str(error)
+        if self.error:
+            self.buffer = b""
         return found
 
 
@@ -75,20 +75,20 @@
     """A frame without its length."""
     number, kind = HEAD.unpack_from(body)
     payload = body[HEAD.size :]
-    if kind not in (NOTHING, WHOLE, CHANGES):
+    if kind not in (NO_CHANGES, FULL_LIST, CHANGES):
         raise FrameError(f"kind {kind}")
     if number >= 1 << 62:
         raise FrameError(f"number {number}")
-    if kind == NOTHING:
+    if kind == NO_CHANGES:
         return Frame(number, kind)
     if len(payload) % RECORD.size:
         raise FrameError(f"{len(payload)} octets of records")
     records = []
     for office, address, port, state, zone, place, cell, weight, started in RECORD.iter_unpack(payload):
-        if state > GONE:
+        if state > REMOVED:
             raise FrameError(f"state {state}")
         host = ".".join(str(octet) for octet in address.to_bytes(4, "big"))
-        records.append(Record(office, host, port, state, zone, place, cell, weight, started))
+        records.append(OfficeRecord(office, host, port, state, zone, place, cell, weight, started))
     return Frame(number, kind, tuple(records))
 
 
@@ -103,7 +103,7 @@
             r.kind,
             r.cell,
             r.weight,
-            r.started,
+            r.started_unix_ms,
         )
         for r in frame.records
     )
--- a/ospreybridge/signalling/isup.py
+++ b/ospreybridge/signalling/isup.py
@@ -21,23 +21,47 @@
     CPG: "CPG", USR: "USR", UCIC: "UCIC", CFN: "CFN",
 }  # fmt: skip
 
-REQUIREMENT, CALLED, SUBSEQUENT, NATURE, FORWARD, OPTIONAL_FORWARD = 0x02, 0x04, 0x05, 0x06, 0x07, 0x08
-CATEGORY, CALLING, CONTINUITY, BACKWARD, CAUSE, SUPERVISION = 0x09, 0x0A, 0x10, 0x11, 0x12, 0x15
-RANGE_STATUS, POINT_CODE, USER_TO_USER, SUSPEND = 0x16, 0x1E, 0x20, 0x22
-EVENT, CIRCUIT_MAP, CIRCUIT_STATE, CONGESTION_LEVEL, HOP_COUNTER = 0x24, 0x25, 0x26, 0x27, 0x3D
+(
+    MEDIUM_REQUIREMENT,
+    CALLED_NUMBER,
+    SUBSEQUENT_NUMBER,
+    NATURE_OF_CONNECTION,
+    FORWARD_INDICATORS,
+    OPTIONAL_FORWARD,
+) = 0x02, 0x04, 0x05, 0x06, 0x07, 0x08
+(
+    CALLING_CATEGORY,
+    CALLING_NUMBER,
+    CONTINUITY_INDICATORS,
+    BACKWARD_INDICATORS,
+    CAUSE_INDICATORS,
+    GROUP_SUPERVISION,
+) = 0x09, 0x0A, 0x10, 0x11, 0x12, 0x15
+RANGE_STATUS, SIGNALLING_POINT_CODE, USER_TO_USER, SUSPEND_RESUME_INDICATORS = 0x16, 0x1E, 0x20, 0x22
+EVENT_INFORMATION, CIRCUIT_ASSIGNMENT_MAP, CIRCUIT_STATE, CONGESTION_LEVEL, HOP_COUNTER = (
+    0x24,
+    0x25,
+    0x26,
+    0x27,
+    0x3D,
+)
 
 # by type: (fixed mandatory parameters with their octets, variable mandatory ones, whether options may follow)
 LAYOUT: dict[int, tuple[tuple[tuple[int, int], ...], tuple[int, ...], bool]] = {
-    IAM: (((NATURE, 1), (FORWARD, 2), (CATEGORY, 1), (REQUIREMENT, 1)), (CALLED,), True),
-    SAM: ((), (SUBSEQUENT,), True),
-    COT: (((CONTINUITY, 1),), (), False),
-    ACM: (((BACKWARD, 2),), (), True),
-    CON: (((BACKWARD, 2),), (), True),
+    IAM: (
+        ((NATURE_OF_CONNECTION, 1), (FORWARD_INDICATORS, 2), (CALLING_CATEGORY, 1), (MEDIUM_REQUIREMENT, 1)),
+        (CALLED_NUMBER,),
+        True,
+    ),
+    SAM: ((), (SUBSEQUENT_NUMBER,), True),
+    COT: (((CONTINUITY_INDICATORS, 1),), (), False),
+    ACM: (((BACKWARD_INDICATORS, 2),), (), True),
+    CON: (((BACKWARD_INDICATORS, 2),), (), True),
     FOT: ((), (), True),
     ANM: ((), (), True),
-    REL: ((), (CAUSE,), True),
-    SUS: (((SUSPEND, 1),), (), True),
-    RES: (((SUSPEND, 1),), (), True),
+    REL: ((), (CAUSE_INDICATORS,), True),
+    SUS: (((SUSPEND_RESUME_INDICATORS, 1),), (), True),
+    RES: (((SUSPEND_RESUME_INDICATORS, 1),), (), True),
     RLC: ((), (), True),
     RSC: ((), (), False),
     BLO: ((), (), False),
@@ -47,26 +71,26 @@
     UCIC: ((), (), False),
     GRS: ((), (RANGE_STATUS,), False),
     GRA: ((), (RANGE_STATUS,), False),
-    CGB: (((SUPERVISION, 1),), (RANGE_STATUS,), False),
-    CGU: (((SUPERVISION, 1),), (RANGE_STATUS,), False),
-    CGBA: (((SUPERVISION, 1),), (RANGE_STATUS,), False),
-    CGUA: (((SUPERVISION, 1),), (RANGE_STATUS,), False),
+    CGB: (((GROUP_SUPERVISION, 1),), (RANGE_STATUS,), False),
+    CGU: (((GROUP_SUPERVISION, 1),), (RANGE_STATUS,), False),
+    CGBA: (((GROUP_SUPERVISION, 1),), (RANGE_STATUS,), False),
+    CGUA: (((GROUP_SUPERVISION, 1),), (RANGE_STATUS,), False),
     CQM: ((), (RANGE_STATUS,), False),
     CQR: ((), (RANGE_STATUS, CIRCUIT_STATE), False),
-    CPG: (((EVENT, 1),), (), True),
+    CPG: (((EVENT_INFORMATION, 1),), (), True),
     USR: ((), (USER_TO_USER,), True),
-    CFN: ((), (CAUSE,), True),
+    CFN: ((), (CAUSE_INDICATORS,), True),
 }
 SPEECH, TWO_TIMES_64 = 0, 7  # transmission medium requirements: one circuit, and 2 x 64 kbit/s
 SUBSCRIBER_FREE = b"\x14\x04"  # backward call indicators: charge, subscriber free, ISUP used all the way
-NATURE_PLAIN = b"\x00"
-FORWARD_PLAIN = b"\x20\x01"  # ISUP used all the way, preferred; ISDN access
-MAINTENANCE = b"\x00"  # circuit group supervision: maintenance oriented, calls go on
-ALERTING = b"\x01"
+DEFAULT_NATURE_OF_CONNECTION = b"\x00"
+DEFAULT_FORWARD_INDICATORS = b"\x20\x01"  # ISUP used all the way, preferred; ISDN access
+MAINTENANCE_ORIENTED = b"\x00"  # circuit group supervision: maintenance oriented, calls go on
+EVENT_ALERTING = b"\x01"
 
 
 @dataclass(slots=True)
-class Isup:
+class IsupMessage:
     cic: int
     type: int
     parameters: dict[int, bytes] = field(default_factory=dict)
@@ -76,7 +100,7 @@
         return NAMES.get(self.type, f"type {self.type:#04x}")
 
 
-def decode(body: bytes) -> Isup:
+def decode(body: bytes) -> IsupMessage:
     """One message. MessageError names what is wrong; `.type` of an unknown one is in the text."""
     if len(body) < 3:
         raise MessageError(f"an ISUP message of {len(body)} octets")
@@ -99,21 +123,21 @@
         parameters[code] = body[start + 1 : start + 1 + body[start]]
         at += 1
     if not options or at >= size or not body[at]:
-        return Isup(cic, kind, parameters)
+        return IsupMessage(cic, kind, parameters)
     at += body[at]
     while True:
         if at >= size:
             raise MessageError(f"{NAMES[kind]}: no end of optional parameters")
         code = body[at]
         if not code:
-            return Isup(cic, kind, parameters)
+            return IsupMessage(cic, kind, parameters)
         if at + 1 >= size or at + 2 + body[at + 1] > size:
             raise MessageError(f"{NAMES[kind]}: optional parameter {code:#04x} does not fit")
         parameters.setdefault(code, body[at + 2 : at + 2 + body[at + 1]])
         at += 2 + body[at + 1]
 
 
-def encode(message: Isup) -> bytes:
+def encode(message: IsupMessage) -> bytes:
     """The octets of a message; LocalError where a mandatory parameter is missing or too long."""
     layout = LAYOUT.get(message.type)
     if layout is None or not 0 <= message.cic < 4096:
@@ -166,26 +190,26 @@
     return bytes(int(even[at], 16) | int(even[at + 1], 16) << 4 for at in range(0, len(even), 2))
 
 
-def called_number(raw: bytes) -> str:
+def decode_called_number(raw: bytes) -> str:
     """Digits of a called party number (Q.763, 3.9), without the ST signal."""
     if len(raw) < 3:
         raise MessageError(f"a called party number of {len(raw)} octets")
     return _digits(raw[2:], bool(raw[0] & 0x80)).rstrip("f")
 
 
-def calling_number(raw: bytes) -> str:
+def decode_calling_number(raw: bytes) -> str:
     """Digits of a calling party number (Q.763, 3.10); empty where the address is not available."""
     if len(raw) < 2:
         raise MessageError(f"a calling party number of {len(raw)} octets")
     return _digits(raw[2:], bool(raw[0] & 0x80))
 
 
-def called(digits: str) -> bytes:
+def encode_called_number(digits: str) -> bytes:
     """National significant number, ISDN numbering plan, routing to an internal number not allowed."""
     return bytes(((len(digits) & 1) << 7 | 0x03, 0x90)) + _packed(digits)
 
 
-def calling(digits: str) -> bytes:
+def encode_calling_number(digits: str) -> bytes:
     """The same, complete, presentation allowed, network provided."""
     return bytes(((len(digits) & 1) << 7 | 0x03, 0x13)) + _packed(digits)
 
@@ -193,7 +217,7 @@
 # -- other parameters
 
 
-def cause(raw: bytes) -> tuple[int, int]:
+def decode_cause(raw: bytes) -> tuple[int, int]:
     """Cause value and location (Q.763, 3.12)."""
     if len(raw) < 2:
         raise MessageError(f"cause indicators of {len(raw)} octets")
@@ -203,27 +227,27 @@
     return raw[at] & 0x7F, raw[0] & 0x0F
 
 
-def cause_indicators(value: int, location: int) -> bytes:
+def encode_cause(value: int, location: int) -> bytes:
     return bytes((0x80 | location, 0x80 | value))
 
 
-def hops(parameters: dict[int, bytes]) -> int | None:
+def decode_hop_counter(parameters: dict[int, bytes]) -> int | None:
     """The hop counter (Q.763, 3.80); None where it is absent or empty."""
     raw = parameters.get(HOP_COUNTER)
     return raw[0] & 31 if raw else None
 
 
-def point_code(raw: bytes) -> int:
+def decode_point_code(raw: bytes) -> int:
     if len(raw) < 2:
         raise MessageError(f"a signalling point code of {len(raw)} octets")
     return raw[0] | (raw[1] & 0x3F) << 8
 
 
-def point_code_octets(code: int) -> bytes:
+def encode_point_code(code: int) -> bytes:
     return bytes((code & 0xFF, code >> 8 & 0x3F))
 
 
-def range_status(raw: bytes) -> tuple[int, list[bool]]:
+def decode_range_status(raw: bytes) -> tuple[int, list[bool]]:
     """Circuits named (the range plus one), and the status bits where there are any (Q.763, 3.43)."""
     if not raw:
         raise MessageError("range and status without a range")
@@ -235,7 +259,7 @@
     return count, [bool(raw[1 + at // 8] >> at % 8 & 1) for at in range(count)]
 
 
-def range_octets(count: int, status: list[bool] | None = None) -> bytes:
+def encode_range_status(count: int, status: list[bool] | None = None) -> bytes:
     out = bytearray((count - 1,))
     if status is not None:
         out += bytearray((count + 7) // 8)
@@ -244,7 +268,7 @@
     return bytes(out)
 
 
-def circuit_map(cics: tuple[int, ...]) -> bytes:
+def encode_circuit_map(cics: tuple[int, ...]) -> bytes:
     """Circuit assignment map for 2048 kbit/s (Q.763, 3.69): the time slots of one multiplex, from 1 to 31."""
     bits = 0
     for cic in cics:
@@ -252,7 +276,7 @@
     return bytes((0x02,)) + bits.to_bytes(4, "little")
 
 
-def mapped_circuits(cic: int, raw: bytes) -> tuple[int, ...]:
+def decode_circuit_map(cic: int, raw: bytes) -> tuple[int, ...]:
     if len(raw) < 5 or raw[0] & 0x3F != 2:
         raise MessageError("a circuit assignment map of an unknown kind")
     bits = int.from_bytes(raw[1:5], "little")
@@ -266,7 +290,7 @@
 WORDS = ("left", "retry", "again", "cut", "via", "tries", "trace")
 
 
-def words(raw: bytes | None) -> dict[str, int]:
+def decode_user_words(raw: bytes | None) -> dict[str, int]:
     """The known name=number words of user-to-user information; what is not ours reads as nothing."""
     if not raw or raw[0]:
         return {}
@@ -278,5 +302,5 @@
     return found
 
 
-def user_words(**values: int) -> bytes:
+def encode_user_words(**values: int) -> bytes:
     return b"\0" + " ".join(f"{name}={value}" for name, value in values.items()).encode()
--- a/ospreybridge/signalling/jsonl.py
+++ b/ospreybridge/signalling/jsonl.py
@@ -13,7 +13,7 @@
 
 from ospreybridge.signalling.errors import MessageError
 
-LONGEST = 16_384  # octets of one message, its line feed included
+MAX_LINE_BYTES = 16_384  # octets of one message, its line feed included
 LAUNCH, STAGING, RUNNING, STOP, STOPPED = "launch", "staging", "running", "stop", "stopped"
 CHECK, CHECKED, USAGE = "check", "checked", "usage"
 KINDS = frozenset((LAUNCH, STAGING, RUNNING, STOP, STOPPED, CHECK, CHECKED, USAGE))
@@ -37,16 +37,16 @@
     """Octets in, whole lines out. `broken` says why nothing after the last line given can be read."""
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.broken = ""
+        self.buffer = b""
+        self.error = ""
 
     def feed(self, data: bytes) -> list[bytes]:
-        if self.broken:
+        if self.error:
             return []
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        for place, line in enumerate((*lines, self.rest)):
-            if len(line) >= LONGEST:
-                self.broken, self.rest = f"a line of more than {LONGEST} octets", b""
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
+        for place, line in enumerate((*lines, self.buffer)):
+            if len(line) >= MAX_LINE_BYTES:
+                self.error, self.buffer = f"a line of more than {MAX_LINE_BYTES} octets", b""
                 return lines[:place]
         return lines
 
@@ -86,7 +86,7 @@
     return orjson.dumps(tree, option=orjson.OPT_APPEND_NEWLINE)
 
 
-def number(value: Value | None, expected: str) -> float:
+def parse_number(value: Value | None, expected: str) -> float:
     """A field's figure, from a text or a number; MessageError where it is none."""
     try:
         found = float(value) if value is not None else float("nan")
@@ -97,7 +97,7 @@
     return found
 
 
-def words(text: Value | None) -> dict[str, str]:
+def parse_extras(text: Value | None) -> dict[str, str]:
     """`a:1;b:2` as a dict; MessageError where it has another form."""
     if text is None or text == "":
         return {}
--- a/ospreybridge/signalling/m3ua.py
+++ b/ospreybridge/signalling/m3ua.py
@@ -34,15 +34,18 @@
 }  # fmt: skip
 KNOWN_CLASSES = frozenset(kind[0] for kind in NAMES)
 
-INFO, ROUTING_CONTEXT, DIAGNOSTIC, HEARTBEAT, TRAFFIC_MODE = 0x0004, 0x0006, 0x0007, 0x0009, 0x000B
+INFO, ROUTING_CONTEXT, DIAGNOSTIC, HEARTBEAT_DATA, TRAFFIC_MODE = 0x0004, 0x0006, 0x0007, 0x0009, 0x000B
 ERROR_CODE, STATUS, ASP_ID, AFFECTED, CONGESTION = 0x000C, 0x000D, 0x0011, 0x0012, 0x0205
 PROTOCOL = 0x0210
-INVALID_VERSION, BAD_CLASS, BAD_TYPE, UNSUPPORTED_MODE = 0x01, 0x03, 0x04, 0x05
-UNEXPECTED, PROTOCOL_ERROR = 0x06, 0x07
-ASP_ID_REQUIRED, INVALID_ASP_ID, BAD_FIELD = 0x0E, 0x0F, 0x12
-MISSING_PARAMETER, INVALID_CONTEXT = 0x16, 0x19
+INVALID_VERSION, BAD_CLASS, BAD_TYPE, UNSUPPORTED_TRAFFIC_MODE = 0x01, 0x03, 0x04, 0x05
+UNEXPECTED_MESSAGE, PROTOCOL_ERROR = 0x06, 0x07
+ASP_ID_REQUIRED, INVALID_ASP_ID, PARAMETER_FIELD_ERROR = 0x0E, 0x0F, 0x12
+MISSING_PARAMETER, INVALID_ROUTING_CONTEXT = 0x16, 0x19
 AS_INACTIVE, AS_ACTIVE = 2, 3  # status informations of an AS state change (type 1)
-OTHER, ALTERNATE_ACTIVE = 2, 2  # status type and information: another ASP is active in this one's place
+STATUS_OTHER, ALTERNATE_ASP_ACTIVE = (
+    2,
+    2,
+)  # status type and information: another ASP is active in this one's place
 OVERRIDE, LOADSHARE = 1, 2  # traffic mode types
 SI_SCCP, SI_ISUP = 3, 5
 
@@ -58,7 +61,7 @@
     mp: int
     sls: int
     body: bytes
-    context: int | None = None
+    routing_context: int | None = None
 
 
 @dataclass(slots=True)
@@ -72,25 +75,29 @@
     def name(self) -> str:
         return NAMES[self.kind]
 
-    def number(self, tag: int) -> int | None:
+    def integer(self, tag: int) -> int | None:
         """A parameter of 32 bits, or None where it is absent."""
         raw = self.parameters.get(tag)
         if raw is None:
             return None
         if len(raw) < 4:
-            raise MessageError(f"{self.name}: parameter {tag:#06x} has {len(raw)} octets, not 4", BAD_FIELD)
+            raise MessageError(
+                f"{self.name}: parameter {tag:#06x} has {len(raw)} octets, not 4", PARAMETER_FIELD_ERROR
+            )
         return int.from_bytes(raw[:4], "big")
 
-    def affected(self) -> list[tuple[int, int]]:
+    def affected_point_codes(self) -> list[tuple[int, int]]:
         """The affected point codes with their masks (bits that are wild)."""
         raw = self.parameters.get(AFFECTED)
         if raw is None:
             raise MessageError(f"{self.name} without an affected point code", MISSING_PARAMETER)
         if not raw or len(raw) % 4:
-            raise MessageError(f"{self.name}: affected point codes of {len(raw)} octets", BAD_FIELD)
+            raise MessageError(
+                f"{self.name}: affected point codes of {len(raw)} octets", PARAMETER_FIELD_ERROR
+            )
         return [(raw[at], int.from_bytes(raw[at + 1 : at + 4], "big")) for at in range(0, len(raw), 4)]
 
-    def text(self) -> str:
+    def info_string(self) -> str:
         return self.parameters.get(INFO, b"").decode("utf-8", "replace")
 
 
@@ -139,7 +146,7 @@
             raise MessageError(f"{length - at} octets after the last parameter", PROTOCOL_ERROR)
         tag, size = TLV.unpack_from(frame, at)
         if size < 4 or at + size > length:
-            raise MessageError(f"parameter {tag:#06x} with length {size} does not fit", BAD_FIELD)
+            raise MessageError(f"parameter {tag:#06x} with length {size} does not fit", PARAMETER_FIELD_ERROR)
         parameters[tag] = frame[at + 4 : at + size]
         at += (size + 3) & ~3  # the last parameter's padding may be missing: the header's length counts
     if (cls, kind) != DATA:
@@ -148,11 +155,11 @@
     if raw is None:
         raise MessageError("DATA without protocol data", MISSING_PARAMETER)
     if len(raw) < 12:
-        raise MessageError(f"protocol data of {len(raw)} octets", BAD_FIELD)
+        raise MessageError(f"protocol data of {len(raw)} octets", PARAMETER_FIELD_ERROR)
     opc, dpc, si, ni, mp, sls = PROTOCOL_DATA.unpack_from(raw)
     context = parameters.get(ROUTING_CONTEXT)
     if context is not None and len(context) != 4:
-        raise MessageError(f"DATA with a routing context of {len(context)} octets", INVALID_CONTEXT)
+        raise MessageError(f"DATA with a routing context of {len(context)} octets", INVALID_ROUTING_CONTEXT)
     number = None if context is None else int.from_bytes(context, "big")
     return Data(opc, dpc, si, ni, mp, sls, raw[12:], number)
 
@@ -163,7 +170,7 @@
     pad = -size % 4
     if size + pad > LONGEST - 24:
         raise LocalError(f"a user part of {len(data.body)} octets")
-    if data.context is None:
+    if data.routing_context is None:
         head = HEADER.pack(VERSION, 0, *DATA, 8 + size + pad) + TLV.pack(PROTOCOL, size)
         head += PROTOCOL_DATA.pack(data.opc, data.dpc, data.si, data.ni, data.mp, data.sls)
     else:
@@ -175,7 +182,7 @@
             16 + size + pad,
             ROUTING_CONTEXT,
             8,
-            data.context,
+            data.routing_context,
             PROTOCOL,
             size,
             data.opc,
@@ -195,7 +202,7 @@
     return HEADER.pack(VERSION, 0, *kind, 8 + len(body)) + body
 
 
-def word(value: int) -> bytes:
+def uint32(value: int) -> bytes:
     return value.to_bytes(4, "big")
 
 
@@ -204,18 +211,18 @@
     return b"".join(bytes([mask]) + code.to_bytes(3, "big") for mask, code in point_codes)
 
 
-def ssnm(kind: tuple[int, int], context: int, mask: int, point_code: int, info: str = "") -> bytes:
+def encode_ssnm(kind: tuple[int, int], context: int, mask: int, point_code: int, info: str = "") -> bytes:
     """One SSNM message (DUNA, DAVA, DAUD, DRST, SCON) on one point code, with an info string."""
-    parameters = [(ROUTING_CONTEXT, word(context)), (AFFECTED, affected((mask, point_code)))]
+    parameters = [(ROUTING_CONTEXT, uint32(context)), (AFFECTED, affected((mask, point_code)))]
     if info:
         parameters.append((INFO, info.encode()[:255]))
     return encode(kind, parameters)
 
 
-def error(code: int, diagnostic: bytes = b"", context: int | None = None) -> bytes:
-    parameters = [(ERROR_CODE, word(code))]
+def encode_error(code: int, diagnostic: bytes = b"", context: int | None = None) -> bytes:
+    parameters = [(ERROR_CODE, uint32(code))]
     if context is not None:
-        parameters.append((ROUTING_CONTEXT, word(context)))
+        parameters.append((ROUTING_CONTEXT, uint32(context)))
     if diagnostic:
         parameters.append((DIAGNOSTIC, diagnostic[:64]))
     return encode(ERR, parameters)
--- a/ospreybridge/signalling/sccp.py
+++ b/ospreybridge/signalling/sccp.py
@@ -5,7 +5,10 @@
 from ospreybridge.signalling.errors import LocalError, MessageError
 
 UDT = 0x09
-PEERS, CENTRE = 250, 251  # subsystem numbers, national range: peer messages, the centre's advice
+PEER_SUBSYSTEM, CENTRE_SUBSYSTEM = (
+    250,
+    251,
+)  # subsystem numbers, national range: peer messages, the centre's advice
 
 
 def encode(subsystem: int, body: bytes) -> bytes:
--- a/ospreybridge/simhost.py
+++ b/ospreybridge/simhost.py
@@ -10,7 +10,7 @@
 from ospreybridge import interface as i
 from ospreybridge import wire
 from ospreybridge.policy import Controller
-from ospreybridge.settings.instance import Pairs, read, read_report
+from ospreybridge.settings.instance import SettingPairs, read_report, read_settings
 
 
 class Host:
@@ -37,7 +37,7 @@
         self, now: float, inst: int, event: wire.Provision | wire.Retire | i.Event, raw: wire.RawReport
     ) -> list[i.Action]:
         if isinstance(event, wire.Provision):
-            settings, columns = read(Pairs.of_text(event.settings))
+            settings, columns = read_settings(SettingPairs.from_text(event.settings))
             self.controllers[inst] = Controller(settings, event.seed)
             self.columns[inst] = columns
             return []
--- a/ospreybridge/standins/callers.py
+++ b/ospreybridge/standins/callers.py
@@ -8,12 +8,15 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from ospreybridge.core.circuits import State, TrunkGroup
+from ospreybridge.core.circuits import CircuitState, TrunkGroup
 from ospreybridge.signalling import isup
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.endpoint import Endpoint, Place
 
-FORWARD = {isup.NATURE: isup.NATURE_PLAIN, isup.FORWARD: isup.FORWARD_PLAIN}
+FORWARD = {
+    isup.NATURE_OF_CONNECTION: isup.DEFAULT_NATURE_OF_CONNECTION,
+    isup.FORWARD_INDICATORS: isup.DEFAULT_FORWARD_INDICATORS,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,12 +72,12 @@
 
     def started(self) -> None:
         for circuit in self.group.circuits.values():
-            self.group.set(circuit, State.IDLE)
-            self.group.block(circuit, far=False)
+            self.group.set_state(circuit, CircuitState.IDLE)
+            self.group.set_blocked(circuit, remote=False)
 
     def lost(self, reason: str) -> None:
         for circuit in self.group.circuits.values():
-            self.group.set(circuit, State.DOWN)
+            self.group.set_state(circuit, CircuitState.DOWN)
         wishes, self.on = list(self.on.values()), {}
         for wish in wishes:
             if wish.stood:
@@ -89,13 +92,13 @@
         self._try(self.loop.now, Wish(kind, calling, called, self.loop.now))
 
     def _try(self, now: float, wish: Wish) -> None:
-        cics = self.group.choose(wish.kind.width) if self.up else ()
+        cics = self.group.select(wish.kind.width) if self.up else ()
         wish.tries += 1
         if not cics:
             self._again(wish, 0.0)
             return
         for cic in cics:
-            self.group.set(self.group.circuits[cic], State.OUT)
+            self.group.set_state(self.group.circuits[cic], CircuitState.SEIZED)
         self.tally["tries"] += 1
         wish.cic = cics[0]
         if len(cics) > 1:
@@ -111,16 +114,16 @@
         required = isup.TWO_TIMES_64 if wish.kind.width == 2 else isup.SPEECH
         given = {
             **FORWARD,
-            isup.CATEGORY: bytes((wish.kind.category,)),
-            isup.REQUIREMENT: bytes((required,)),
-            isup.CALLED: isup.called(wish.called),
-            isup.CALLING: isup.calling(wish.calling),
-            isup.USER_TO_USER: isup.user_words(**words),
+            isup.CALLING_CATEGORY: bytes((wish.kind.category,)),
+            isup.MEDIUM_REQUIREMENT: bytes((required,)),
+            isup.CALLED_NUMBER: isup.encode_called_number(wish.called),
+            isup.CALLING_NUMBER: isup.encode_calling_number(wish.calling),
+            isup.USER_TO_USER: isup.encode_user_words(**words),
         }
         if len(cics) == 2 and cics[1] != cics[0] + 1:
-            given[isup.CIRCUIT_MAP] = isup.circuit_map(cics)
-        self.send(Isup(wish.cic, isup.IAM, given))
-        self.loop.timers.at(now + left, self._impatient, wish, wish.tries)
+            given[isup.CIRCUIT_ASSIGNMENT_MAP] = isup.encode_circuit_map(cics)
+        self.send(IsupMessage(wish.cic, isup.IAM, given))
+        self.loop.timers.schedule(now + left, self._impatient, wish, wish.tries)
 
     def _impatient(self, now: float, wish: Wish, tried: int) -> None:
         if not wish.stood and wish.tries == tried and self.on.get(wish.cic) is wish:
@@ -131,8 +134,8 @@
     def _hang_up(self, now: float, wish: Wish, cause: int = 16) -> None:
         self.on.pop(wish.cic, None)
         for cic in self._circuits(wish):
-            self.group.set(self.group.circuits[cic], State.RELEASING)
-        self.send(Isup(wish.cic, isup.REL, {isup.CAUSE: isup.cause_indicators(cause, 0)}))
+            self.group.set_state(self.group.circuits[cic], CircuitState.RELEASING)
+        self.send(IsupMessage(wish.cic, isup.REL, {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}))
 
     def _circuits(self, wish: Wish) -> tuple[int, ...]:
         return self.pairs.get(wish.cic, (wish.cic,))
@@ -147,7 +150,7 @@
         if wish.tries > self.habits.redials or late or self.quiet:
             self.tally["unserved"] += 1
             return
-        self.loop.timers.at(now + wait, self._try, wish)
+        self.loop.timers.schedule(now + wait, self._try, wish)
 
     def _cut(self, wish: Wish) -> None:
         self.tally["cut"] += 1
@@ -164,12 +167,12 @@
             wait = float(self.random.uniform(0.1, 1.0)) * back_within
             new.first = self.loop.now + wait
             self.tally["offered again after a cut"] += 1
-            self.loop.timers.at(new.first, self._try, new)
+            self.loop.timers.schedule(new.first, self._try, new)
         return len(chosen)
 
     # -- what the call server says
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         wish = self.on.get(message.cic)
         now = self.loop.now
         if message.type in (isup.ACM, isup.CON, isup.ANM) and wish is not None and not wish.stood:
@@ -178,38 +181,38 @@
             self.delays.record_value(max(1, int((now - self.before[message.cic]) * 1_000)))
             self.tally["in time" if took <= wish.kind.on_time else "late"] += 1
             hold = float(self.random.exponential(wish.kind.hold))
-            self.loop.timers.at(now + hold, self._done, wish)
+            self.loop.timers.schedule(now + hold, self._done, wish)
         elif message.type == isup.REL:
-            self.send(Isup(message.cic, isup.RLC))
+            self.send(IsupMessage(message.cic, isup.RLC))
             if wish is None:
                 return
             del self.on[message.cic]
             for cic in self._circuits(wish):
-                self.group.set(self.group.circuits[cic], State.IDLE)
-            cause, _ = isup.cause(message.parameters[isup.CAUSE])
+                self.group.set_state(self.group.circuits[cic], CircuitState.IDLE)
+            cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
             if wish.stood:
                 if cause not in (16, 31) and not self.quiet:
                     self._cut(wish)  # at the end of the day the call servers release what stands
                 return
             self.tally[f"refused, cause {cause}"] += 1
-            words = isup.words(message.parameters.get(isup.USER_TO_USER))
+            words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
             self._again(wish, float(words.get("retry", 0)))
         elif message.type == isup.RLC:
             for cic in self.pairs.get(message.cic, (message.cic,)):
                 circuit = self.group.circuits.get(cic)
-                if circuit is not None and circuit.state is State.RELEASING:
-                    self.group.set(circuit, State.IDLE)
+                if circuit is not None and circuit.state is CircuitState.RELEASING:
+                    self.group.set_state(circuit, CircuitState.IDLE)
 
     def _done(self, now: float, wish: Wish) -> None:
         if self.on.get(wish.cic) is wish and self.up:
             self._hang_up(now, wish)
 
-    def supervised(self, message: Isup) -> None:
+    def supervised(self, message: IsupMessage) -> None:
         if message.type in (isup.CGB, isup.CGU):
-            count, status = isup.range_status(message.parameters[isup.RANGE_STATUS])
+            count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
             for at in range(count):
                 circuit = self.group.circuits.get(message.cic + at)
                 if circuit is not None and status[at]:
-                    self.group.block(circuit, far=message.type == isup.CGB)
+                    self.group.set_blocked(circuit, remote=message.type == isup.CGB)
         elif message.type in (isup.BLO, isup.UBL):
-            self.group.block(self.group.circuits[message.cic], far=message.type == isup.BLO)
+            self.group.set_blocked(self.group.circuits[message.cic], remote=message.type == isup.BLO)
--- a/ospreybridge/standins/centre.py
+++ b/ospreybridge/standins/centre.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ospreybridge.net.loop import Loop
+from ospreybridge.net.loop import EventLoop
 from ospreybridge.signalling import m3ua, sccp
 from ospreybridge.standins.endpoint import Endpoint, Place
 
@@ -10,11 +10,11 @@
 class TheCentre:
     """Free circuits as last reported, by exchange and far exchange; advice is worked out each `every` ms."""
 
-    def __init__(self, loop: Loop, every: float) -> None:
+    def __init__(self, loop: EventLoop, every: float) -> None:
         self.loop, self.every = loop, every
         self.free: dict[int, dict[int, int]] = {}
         self.links: list[CentreLink] = []
-        loop.timers.at(loop.now + every, self._advise)
+        loop.timers.schedule(loop.now + every, self._advise)
 
     def best(self, origin: int, dest: int) -> int:
         """The tandem whose narrower leg has the most free circuits; 255 where there is none."""
@@ -28,7 +28,7 @@
         return tandem if rooms.get(tandem) else 255
 
     def _advise(self, now: float) -> None:
-        self.loop.timers.at(now + self.every, self._advise)
+        self.loop.timers.schedule(now + self.every, self._advise)
         for link in self.links:
             for at in range(0, len(self.free), 120):
                 dests = sorted(self.free)[at : at + 120]
@@ -50,7 +50,7 @@
 
     def unitdata(self, body: bytes) -> None:
         if self.up and self.association is not None:
-            self.association.data(m3ua.SI_SCCP, 0, sccp.encode(sccp.CENTRE, body))
+            self.association.send_data(m3ua.SI_SCCP, 0, sccp.encode(sccp.CENTRE_SUBSYSTEM, body))
 
     def unit(self, data: m3ua.Data) -> None:
         _, body = sccp.decode(data.body)
--- a/ospreybridge/standins/endpoint.py
+++ b/ospreybridge/standins/endpoint.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ospreybridge.core.association import Asp, Association
-from ospreybridge.core.handshakes import Handshakes
+from ospreybridge.core.association import AspState, Association
+from ospreybridge.core.handshakes import HandshakeScheduler
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import Loop, Task
-from ospreybridge.net.tls import Contexts, Refused
+from ospreybridge.net.loop import EventLoop, Task
+from ospreybridge.net.tls import HandshakeError, TlsContexts
 from ospreybridge.settings.server import Peer
 from ospreybridge.signalling import isup, m3ua
 from ospreybridge.signalling.errors import FrameError, MessageError
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 BUFFER = 1 << 24
 REDIAL = 200.0  # ms before a lost association is dialled again
@@ -23,11 +23,11 @@
 class Place:
     """Where an endpoint stands: its point code, the call server as its peer, and where that listens now."""
 
-    loop: Loop
+    loop: EventLoop
     point_code: int
     server: Peer
     address: Callable[[], tuple[str, int] | None]
-    tls: Contexts | None = None  # the stand-ins' own set; `server.tls` is who they expect
+    tls: TlsContexts | None = None  # the stand-ins' own set; `server.tls` is who they expect
 
 
 class Endpoint:
@@ -36,7 +36,7 @@
     def __init__(self, place: Place) -> None:
         self.loop, self.point_code = place.loop, place.point_code
         self.server, self.address, self.tls = place.server, place.address, place.tls
-        self.pace = Handshakes(1, place.point_code)
+        self.pace = HandshakeScheduler(1, place.point_code)
         self.association: Association | None = None
         self.stream: tcp.Stream | None = None
         self.alive = True
@@ -46,21 +46,21 @@
 
     @property
     def up(self) -> bool:
-        return self.association is not None and self.association.state is Asp.ACTIVE
+        return self.association is not None and self.association.state is AspState.ACTIVE
 
     def _life(self) -> Task:
         while True:
             address = self.address() if self.alive else None
             if address is not None:
                 try:
-                    sock = yield from tcp.dial(self.loop, address, 2_000.0)
+                    sock = yield from tcp.connect(self.loop, address, 2_000.0)
                     if self.tls is not None:
-                        stream: tcp.Stream = yield from self.tls.dialled(
-                            self.loop, sock, self.pace, self.server.tls
+                        stream: tcp.Stream = yield from self.tls.connect(
+                            self.loop, sock, self.pace, self.server.tls_name
                         )
                     else:
                         stream = tcp.Stream(self.loop, sock, BUFFER)
-                except (OSError, Refused) as error:
+                except (OSError, HandshakeError) as error:
                     self.failure = str(error)
                 else:
                     yield from self._serve(stream)
@@ -70,7 +70,7 @@
         self.stream = stream
         association = Association(self, stream.write, self.point_code, 2, {}, self.server)
         self.association = association
-        stream.on_close = association.closed
+        stream.on_close = association.connection_closed
         splitter = m3ua.Splitter()
         association.open()
         while not stream.closed:
@@ -93,9 +93,9 @@
         self.alive = False
         self.drop()
 
-    def send(self, message: Isup) -> None:
+    def send(self, message: IsupMessage) -> None:
         if self.up and self.association is not None:
-            self.association.data(m3ua.SI_ISUP, message.cic & 15, isup.encode(message))
+            self.association.send_data(m3ua.SI_ISUP, message.cic & 15, isup.encode(message))
 
     # -- what the association tells
 
@@ -105,20 +105,20 @@
     def lost(self, reason: str) -> None:
         """The association is down; all its circuits are idle at the next start."""
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         """One ISUP message that is no supervision."""
 
     def unit(self, data: m3ua.Data) -> None:
         """A DATA message of another service."""
 
-    def active(self, association: Association) -> None:
+    def association_active(self, association: Association) -> None:
         self.started()
 
-    def inactive(self, association: Association, reason: str) -> None:
+    def association_inactive(self, association: Association, reason: str) -> None:
         if association is self.association:
             self.lost(reason)
 
-    def received(self, association: Association, data: m3ua.Data) -> None:
+    def data_received(self, association: Association, data: m3ua.Data) -> None:
         if data.si != m3ua.SI_ISUP:
             self.unit(data)
             return
@@ -135,28 +135,28 @@
             self.reset(message)
         given = dict(message.parameters)
         if answer == isup.GRA:
-            count, _ = isup.range_status(given[isup.RANGE_STATUS])
-            given[isup.RANGE_STATUS] = isup.range_octets(count, [False] * count)
+            count, _ = isup.decode_range_status(given[isup.RANGE_STATUS])
+            given[isup.RANGE_STATUS] = isup.encode_range_status(count, [False] * count)
         self.supervised(message)
-        self.send(Isup(message.cic, answer, given))
+        self.send(IsupMessage(message.cic, answer, given))
 
-    def reset(self, message: Isup) -> None:
+    def reset(self, message: IsupMessage) -> None:
         """RSC or GRS: calls on those circuits are lost."""
 
-    def supervised(self, message: Isup) -> None:
+    def supervised(self, message: IsupMessage) -> None:
         """BLO, UBL, CGB, CGU and resets, after they were understood."""
 
-    def told(self, association: Association, message: m3ua.Message) -> None:
+    def message_received(self, association: Association, message: m3ua.Message) -> None:
         if message.kind == m3ua.ERR:
-            self.faults.append(f"ERR {message.number(m3ua.ERROR_CODE)}")
+            self.faults.append(f"ERR {message.integer(m3ua.ERROR_CODE)}")
 
-    def stranger(self, association: Association, identifier: int) -> None:
+    def unknown_identifier(self, association: Association, identifier: int) -> None:
         """Nobody dials an endpoint."""
 
     def may_take_over(self, association: Association) -> bool:
         return False
 
-    def end(self, association: Association, reason: str) -> None:
+    def close_association(self, association: Association, reason: str) -> None:
         self.faults.append(reason)
         self.drop()
 
--- a/ospreybridge/standins/listservice.py
+++ b/ospreybridge/standins/listservice.py
@@ -7,8 +7,8 @@
 import numpy as np
 
 from ospreybridge.core.association import Association
-from ospreybridge.core.roster import info_text
-from ospreybridge.net.loop import Loop
+from ospreybridge.core.exchange_list import format_info
+from ospreybridge.net.loop import EventLoop
 from ospreybridge.signalling import m3ua
 from ospreybridge.standins.endpoint import Endpoint, Place
 
@@ -25,7 +25,9 @@
 class TheList:
     """What is listed; its changes reach each subscriber `delay` ms later, drawn for each of them."""
 
-    def __init__(self, loop: Loop, point_codes: list[int], delay: tuple[float, float], seed: int) -> None:
+    def __init__(
+        self, loop: EventLoop, point_codes: list[int], delay: tuple[float, float], seed: int
+    ) -> None:
         self.loop, self.delay, self.random = loop, delay, np.random.default_rng(seed)
         self.items = {code: Item(code) for code in point_codes}
         self.version, self.starts = 1, 0
@@ -44,7 +46,7 @@
         if not self.stale:
             for link in self.subscribers:
                 wait = float(self.random.uniform(*self.delay))
-                self.loop.timers.at(self.loop.now + wait, link.tell, item)
+                self.loop.timers.schedule(self.loop.now + wait, link.tell, item)
 
     def freeze(self, on: bool) -> None:
         if on:
@@ -74,16 +76,18 @@
         if self.up and self.association is not None:
             age = int(now - item.began) if item.start else 0
             version = self.list.version if of else item.version
-            info = info_text(version, item.start, age, of)
-            self.association.send(m3ua.ssnm(item.kind, self.server.context, 0, item.point_code, info))
+            info = format_info(version, item.start, age, of)
+            self.association.send(
+                m3ua.encode_ssnm(item.kind, self.server.routing_context, 0, item.point_code, info)
+            )
 
     def whole(self) -> None:
         items = self.list.shown()
         for item in items.values():
             self.tell(self.loop.now, item, len(items))
 
-    def told(self, association: Association, message: m3ua.Message) -> None:
+    def message_received(self, association: Association, message: m3ua.Message) -> None:
         if message.kind == m3ua.DAUD:
             self.whole()
         else:
-            super().told(association, message)
+            super().message_received(association, message)
--- a/ospreybridge/standins/office.py
+++ b/ospreybridge/standins/office.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from ospreybridge.signalling import causes, isup
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.endpoint import Endpoint, Place
 
 
@@ -37,7 +37,7 @@
         self.slow, self.hung, self.fallen = 1.0, False, False
         self.began = -1e12  # when the processor last started
         self.free_at = 0.0  # when its line is free
-        self.queue: deque[Isup] = deque()
+        self.queue: deque[IsupMessage] = deque()
         self.taken: dict[int, str] = {}  # circuit: waiting, standing
         self.arrivals: deque[float] = deque()
         super().__init__(place)
@@ -68,7 +68,7 @@
 
     # -- calls
 
-    def isup(self, message: Isup) -> None:
+    def isup(self, message: IsupMessage) -> None:
         now = self.loop.now
         if message.type == isup.IAM:
             if self._over(now):
@@ -81,19 +81,19 @@
             if wait > self.p.refuse_after:
                 self._work(self.p.setup / 4)
                 given = {
-                    isup.CAUSE: isup.cause_indicators(causes.CONGESTION, causes.USER),
+                    isup.CAUSE_INDICATORS: isup.encode_cause(causes.CONGESTION, causes.LOCATION_USER),
                     isup.CONGESTION_LEVEL: b"\x02",
-                    isup.USER_TO_USER: isup.user_words(retry=int(wait)),
+                    isup.USER_TO_USER: isup.encode_user_words(retry=int(wait)),
                 }
-                self.send(Isup(message.cic, isup.REL, given))
+                self.send(IsupMessage(message.cic, isup.REL, given))
                 return
             self.taken[message.cic] = "waiting"
             self._work(self.p.setup)
-            self.loop.timers.at(self.free_at, self._answer, message.cic, self.began)
+            self.loop.timers.schedule(self.free_at, self._answer, message.cic, self.began)
         elif message.type == isup.REL:
             self.taken.pop(message.cic, None)
             self._work(self.p.release)
-            self.send(Isup(message.cic, isup.RLC))
+            self.send(IsupMessage(message.cic, isup.RLC))
 
     def _work(self, work: float) -> None:
         took = self.random.gamma(4.0, work / 4.0) * self.slow / self.capacity(self.loop.now)
@@ -103,13 +103,13 @@
         if self.taken.get(cic) != "waiting" or began != self.began or self.hung or not self.up:
             return
         self.taken[cic] = "standing"
-        self.send(Isup(cic, isup.ACM, {isup.BACKWARD: isup.SUBSCRIBER_FREE}))
-        self.send(Isup(cic, isup.ANM))
+        self.send(IsupMessage(cic, isup.ACM, {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}))
+        self.send(IsupMessage(cic, isup.ANM))
 
-    def reset(self, message: Isup) -> None:
+    def reset(self, message: IsupMessage) -> None:
         count = 1
         if message.type == isup.GRS:
-            count, _ = isup.range_status(message.parameters[isup.RANGE_STATUS])
+            count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for cic in range(message.cic, message.cic + count):
             self.taken.pop(cic, None)
 
--- a/ospreybridge/standins/platform.py
+++ b/ospreybridge/standins/platform.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from ospreybridge.net import tcp
-from ospreybridge.net.loop import Loop, Task
+from ospreybridge.net.loop import EventLoop, Task
 from ospreybridge.signalling import causes, frames, jsonl
 from ospreybridge.signalling.jsonl import Message
 
@@ -18,12 +18,12 @@
 class Place:
     """One listening address on a port of the kernel's choice, and the connections that came to it."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
-        self.sock = tcp.listening(("127.0.0.1", 0))
+        self.sock = tcp.listen(("127.0.0.1", 0))
         self.port = int(self.sock.getsockname()[1])
         self.streams: list[tcp.Stream] = []
-        loop.spawn(tcp.accepting(loop, self.sock, self._accepted))
+        loop.spawn(tcp.accept_connections(loop, self.sock, self._accepted))
 
     def _accepted(self, sock: socket.socket) -> None:
         stream = tcp.Stream(self.loop, sock)
@@ -43,13 +43,13 @@
 class JournalService(Place):
     """Tells all events after the number that it is asked for; an empty frame each quarter of a second."""
 
-    def __init__(self, loop: Loop, events: list[frames.Frame]) -> None:
+    def __init__(self, loop: EventLoop, events: list[frames.Frame]) -> None:
         self.events, self.asked, self.mute = events, list[int](), False
         super().__init__(loop)
         loop.spawn(self._beating())
 
     def heard(self, stream: tcp.Stream, data: bytes) -> None:
-        (after,) = frames.ASK.unpack(data)
+        (after,) = frames.REQUEST.unpack(data)
         self.asked.append(after)
         stream.write(b"".join(frames.encode(event) for event in self.events if event.number > after))
 
@@ -61,14 +61,14 @@
     def _beating(self) -> Task:
         while not self.sock._closed:  # type: ignore[attr-defined]
             for stream in self.streams if not self.mute else ():
-                stream.write(frames.encode(frames.Frame(self.events[-1].number, frames.NOTHING)))
+                stream.write(frames.encode(frames.Frame(self.events[-1].number, frames.NO_CHANGES)))
             yield "sleep", 250.0
 
 
 class OfficeStandIn(Place):
     """Answers each set-up with a description of its own; `spoil` goes out in place of the next answer."""
 
-    def __init__(self, loop: Loop, group: int = 20) -> None:
+    def __init__(self, loop: EventLoop, group: int = 20) -> None:
         self.group, self.spoil, self.mute = group, b"", False
         self.splitters: dict[int, jsonl.Splitter] = {}
         self.stands: dict[str, tcp.Stream] = {}
@@ -96,13 +96,13 @@
             )
 
     def release(self, uid: str) -> None:
-        self.stands.pop(uid).write(jsonl.encode(Message(jsonl.STOP, uid, {}, causes.NORMAL)))
+        self.stands.pop(uid).write(jsonl.encode(Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING)))
 
 
 class CallerStandIn:
     """One connection of callers: what it was answered, by call."""
 
-    def __init__(self, loop: Loop, port: int) -> None:
+    def __init__(self, loop: EventLoop, port: int) -> None:
         sock = socket.create_connection(("127.0.0.1", port), timeout=5.0)
         self.stream = tcp.Stream(loop, sock)
         self.answers: dict[str, deque[Message]] = {}
--- a/ospreybridge/wire.py
+++ b/ospreybridge/wire.py
@@ -135,7 +135,7 @@
         return inst, i.Probed(office_id(raw), i.Result(result), took), RawReport(tuple(values[:number]))
     if code == 40:
         inst, ref, attempt, raw, took = FIRST.unpack_from(record)
-        return inst, i.Stands(ref, attempt, office_id(raw), took), empty
+        return inst, i.Established(ref, attempt, office_id(raw), took), empty
     if code == 100:
         return RETIRE.unpack_from(record)[0], Retire(), empty
     if code == 60:
@@ -148,10 +148,10 @@
         return inst, outcome, RawReport(tuple(values[:number]))
     if code == 90:
         inst, sender, offset, length = DATAGRAM.unpack_from(record)
-        return inst, i.Peer(sender, _slice(tail, offset, length)), empty
+        return inst, i.PeerMessage(sender, _slice(tail, offset, length)), empty
     if code == 70:
         inst, label = TIMER.unpack_from(record)
-        return inst, i.Timer(label), empty
+        return inst, i.TimerExpired(label), empty
     raise WireError(f"unknown event code {code}")
 
 
@@ -175,7 +175,7 @@
     match action:
         case i.Send(ref, office, max_wait):
             return struct.pack("<BHId6s", 50, inst, ref, max_wait, office_bytes(office))
-        case i.Remind(label, after):
+        case i.StartTimer(label, after):
             return struct.pack("<BHQd", 70, inst, label, after)
         case i.Refuse(ref, retry_after):
             return struct.pack("<BHId", 110, inst, ref, retry_after)
@@ -183,7 +183,7 @@
             return struct.pack("<BHI", 100, inst, ref)
         case i.Cancel(ref, attempt):
             return struct.pack("<BHIB", 20, inst, ref, attempt)
-        case i.Follow(want):
+        case i.Subscribe(want):
             return struct.pack("<BHB", 30, inst, want)
         case i.Lookup():
             return struct.pack("<BH", 80, inst)
@@ -191,7 +191,7 @@
             return struct.pack("<BH6s", 120, inst, office_bytes(office))
         case i.Close(office):
             return struct.pack("<BH6s", 10, inst, office_bytes(office))
-        case i.Tell(peer, body):
+        case i.NotifyPeers(peer, body):
             to = ALL_PEERS if peer is None else peer
             record = struct.pack("<BHHII", 90, inst, to, len(tail), len(body))
             tail += body
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -15,14 +15,14 @@
 from hdrh.histogram import HdrHistogram
 
 from ospreybridge.core.callserver import CallServer
-from ospreybridge.fronts.m3ua import Channel, Front
-from ospreybridge.keys.authority import Authority
-from ospreybridge.keys.material import Paths
-from ospreybridge.keys.material import load as load_set
-from ospreybridge.net.loop import Loop
-from ospreybridge.net.tls import Contexts
-from ospreybridge.settings.server import Peer, Server, circuits, load
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.fronts.m3ua import Channel, M3uaFront
+from ospreybridge.keys.authority import CertificateAuthority
+from ospreybridge.keys.credentials import CredentialPaths
+from ospreybridge.keys.credentials import load as load_set
+from ospreybridge.net.loop import EventLoop
+from ospreybridge.net.tls import TlsContexts
+from ospreybridge.settings.server import Peer, ServerSettings, load, parse_cic_ranges
+from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.callers import Callers, Habits, Kind
 from ospreybridge.standins.endpoint import Place
 from ospreybridge.standins.listservice import ListLink, TheList
@@ -57,19 +57,19 @@
         tls: str | None = None,
     ) -> None:
         """`tls`: more keys of the tls nodes; None for plain links."""
-        self.tls, self.authority = tls, None if tls is None else Authority.make(folder, 30.0)
+        self.tls, self.authority = tls, None if tls is None else CertificateAuthority.create(folder, 30.0)
         self.said: list[dict[str, Any]] = []  # what the fronts logged
         self.wall_shift = 0.0  # seconds by which the fronts' calendar is ahead
         if self.authority is not None:
             self.authority.issue("standins", ["standins.test"])
             self.standins = standin_set(folder)
         self.folder, self.size, self.group = folder, size, group
-        self.loop = Loop(clock) if clock else Loop()
+        self.loop = EventLoop(clock) if clock else EventLoop()
         self.tally: Counter[str] = Counter()
-        self.cores: dict[int, CallServer] = {}
-        self.fronts: dict[int, Front] = {}
+        self.call_servers: dict[int, CallServer] = {}
+        self.fronts: dict[int, M3uaFront] = {}
         self.ports: dict[int, int] = {}
-        self.list = TheList(self.loop, list(range(1, size + 1)), (0.0, 1.0), 1)
+        self.exchange_list = TheList(self.loop, list(range(1, size + 1)), (0.0, 1.0), 1)
         self.offices: dict[int, Office] = {}
         self.callers: dict[int, Callers] = {}
         for n in range(size, 0, -1):  # the higher numbers listen before the lower ones dial
@@ -77,7 +77,7 @@
         for n in range(1, size + 1):
             self._surround(n)
 
-    def settings(self, n: int) -> Server:
+    def settings(self, n: int) -> ServerSettings:
         peers = "\n".join(
             f'peer "cs{m}" role="exchange" number={m} point-code={m} context={min(n, m) * 10 + max(n, m)} '
             + (f'tls="cs{m}.test" ' if self.authority else "plain=true ")
@@ -104,50 +104,52 @@
                 settings = replace(settings, tls=replace(settings.tls, listen=at))
             else:
                 settings = replace(settings, listen=at)
-        self.cores[n] = CallServer(settings, self.loop.timers)
+        self.call_servers[n] = CallServer(settings, self.loop.timers)
 
         def log(event: str, **fields: Any) -> None:
             self.said.append({"event": event, "at": n} | fields)
 
-        self.fronts[n] = Front(
-            self.loop, settings, self.cores[n], log, wall=lambda: time.time() + self.wall_shift
+        self.fronts[n] = M3uaFront(
+            self.loop, settings, self.call_servers[n], log, wall=lambda: time.time() + self.wall_shift
         )
         self.ports[n] = self.fronts[n].tls_port or self.fronts[n].port
 
     def kill(self, n: int) -> None:
         """The process is gone without a word: sockets close, nothing is remembered."""
         front = self.fronts[n]
-        front.core = CallServer(front.s, type(self.loop.timers)())  # what still happens reaches no one
+        front.core = CallServer(front.settings, type(self.loop.timers)())  # what still happens reaches no one
         front.stop_listening()
         for channel in list(front.channels.values()):
             channel.stream.close("killed")
 
     def _surround(self, n: int) -> None:
         def place(code: int, context: int, size: int = 0) -> Place:
-            cics = circuits([f"1-{size}"]) if size else ()
-            server = Peer(f"cs{n}", "exchange", n, context, dial=("", 0), cics=cics, tls=f"cs{n}.test")
+            cics = parse_cic_ranges([f"1-{size}"]) if size else ()
+            server = Peer(
+                f"cs{n}", "exchange", n, context, dial_address=("", 0), cics=cics, tls_name=f"cs{n}.test"
+            )
             contexts = self.standins if self.authority else None
             return Place(self.loop, code, server, lambda: ("127.0.0.1", self.ports[n]), contexts)
 
         office, callers, delays = 1_000 + n, 2_000 + n, HdrHistogram(1, 60_000_000, 3)
         self.offices[n] = Office(place(office, office, 60), Processor(setup=0.5, release=0.1), n)
         self.callers[n] = Callers(place(callers, callers, 90), Habits(redials=0), n, self.tally, delays)
-        ListLink(place(16_000, 9), self.list)
+        ListLink(place(16_000, 9), self.exchange_list)
 
-    def until(self, condition: Callable[[], bool], within: float = 8_000.0) -> None:
+    def run_until(self, condition: Callable[[], bool], within: float = 8_000.0) -> None:
         assert self.loop.run_until(condition, within), f"not within {within} ms; tally {dict(self.tally)}"
 
     def ready(self) -> bool:
         return all(
             len(core.links) == self.size + 2
-            and len(core.roster.entries) == self.size
+            and len(core.exchange_list.entries) == self.size
             and all(group.free == group.size for group in core.groups.values())
-            for core in self.cores.values()
-        ) and all(self.offices[n].up and self.callers[n].up for n in self.cores)
+            for core in self.call_servers.values()
+        ) and all(self.offices[n].up and self.callers[n].up for n in self.call_servers)
 
     def channel(self, n: int, to: int) -> Channel:
         """The connection that carries the link from one exchange to another now."""
-        found = self.fronts[n].by_peer[to].current
+        found = self.fronts[n].links[to].current
         assert isinstance(found, Channel)
         return found
 
@@ -162,25 +164,27 @@
 
         thread = threading.Thread(target=run)
         thread.start()
-        self.until(lambda: not thread.is_alive(), 30_000)
+        self.run_until(lambda: not thread.is_alive(), 30_000)
 
     def call(self, origin: int, dest: int, serial: int) -> None:
         self.callers[origin].wish(KIND, f"50{serial:06d}", f"37{dest}{serial:04d}")
 
-    def idle(self) -> bool:
+    def all_circuits_free(self) -> bool:
         """Every circuit of every group is free again at both ends."""
-        return all(group.free == group.size for core in self.cores.values() for group in core.groups.values())
+        return all(
+            group.free == group.size for core in self.call_servers.values() for group in core.groups.values()
+        )
 
-    def hang_up(self) -> None:
+    def hang_up_all(self) -> None:
         for callers in self.callers.values():
             for wish in list(callers.on.values()):
                 if wish.stood:
                     callers._hang_up(self.loop.now, wish)
 
 
-def standin_set(folder: Path, file: str = "standins", old: bool = False) -> Contexts:
-    paths = Paths(folder / f"{file}.crt", folder / f"{file}.key", folder / "ca.crt")
-    return Contexts(load_set(paths, time.time()), old)
+def standin_set(folder: Path, file: str = "standins", old: bool = False) -> TlsContexts:
+    paths = CredentialPaths(folder / f"{file}.crt", folder / f"{file}.key", folder / "ca.crt")
+    return TlsContexts(load_set(paths, time.time()), old)
 
 
 @contextmanager
@@ -193,7 +197,7 @@
 ) -> Iterator[Fleet]:
     made = Fleet(folder, size, group, clock, tls)
     try:
-        made.until(made.ready)
+        made.run_until(made.ready)
         yield made
     finally:
         for front in made.fronts.values():
@@ -207,4 +211,4 @@
     return sock
 
 
-__all__ = ["KIND", "Fleet", "Isup", "connect", "fleet"]
+__all__ = ["KIND", "Fleet", "IsupMessage", "connect", "fleet"]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,10 +24,10 @@
 CLASS = i.CallClass(on_time=2_000.0, deadline=9_000.0, late_worth=0.2, hold=10_000.0)
 SETTINGS = i.Settings(
     classes=(CLASS,),
-    here=0,
-    peers=4,
+    own_exchange=0,
+    server_count=4,
     tick=5.0,
-    limits=i.Limits(cancel=True, most_tries=4),
+    limits=i.Limits(cancel=True, max_tries=4),
     rules=RULES,
 )
 NOTHING: list[i.Action] = []
@@ -54,11 +54,11 @@
         return self.say(i.Probed(100 + cell, i.Result.OK, 0.0, i.Report(free, size)))
 
     def call(self, ref: int = 1, dest: int = 1, lasts: float = 3_000.0, **more: object) -> list[i.Action]:
-        request = replace(i.Request(ref, 0, dest, self.now + lasts, number=ref), **more)  # type: ignore[arg-type]
+        request = replace(i.Request(ref, 0, dest, self.now + lasts, called_number=ref), **more)  # type: ignore[arg-type]
         return self.say(request)
 
     def poll(self) -> list[i.Action]:
-        return self.say(i.Timer(POLL_LABEL))
+        return self.say(i.TimerExpired(POLL_LABEL))
 
     def ends(
         self, ref: int, attempt: int, cell: int, result: i.Result, note: i.Note = i.Note.NONE, **more: object
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ospreybridge.access.server import Server
-from ospreybridge.core.timers import Timers
+from ospreybridge.core.timers import TimerQueue
 from ospreybridge.settings.platform import Address, Platform, build
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.jsonl import Message
@@ -101,7 +101,7 @@
 
     def __init__(self, **more: Any) -> None:
         self.now = 1_000.0
-        self.timers = Timers()
+        self.timers = TimerQueue()
         self.out: list[tuple[int, Message]] = []  # all that was sent, in order: connection, message
         self.dialled: dict[int, Address] = {}
         self.closed: dict[int, str] = {}
@@ -161,9 +161,9 @@
 
     def passes(self, ms: float, connect: bool = True) -> None:
         end = self.now + ms
-        while (due := self.timers.next()) is not None and due <= end:
+        while (due := self.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.timers.run(self.now)
+            self.timers.run_due(self.now)
             if connect:
                 self.connect()
         self.now = end
@@ -204,7 +204,7 @@
             del self.attempts[uid]
         self.server.link_line(self.now, conn, jsonl.encode(message).rstrip(b"\n"))
 
-    def news(self, number: int, *records: frames.Record, kind: int = frames.CHANGES) -> None:
+    def news(self, number: int, *records: frames.OfficeRecord, kind: int = frames.CHANGES) -> None:
         self.server.news(self.now, frames.Frame(number, kind, records))
 
     # -- what was seen
@@ -226,5 +226,5 @@
 
 def record(
     office: int, cell: int, state: int = frames.READY, port: int = 0, started: int = 0
-) -> frames.Record:
-    return frames.Record(office, "127.0.0.1", port or 4000 + office, state, 0, 0, cell, 1000, started)
+) -> frames.OfficeRecord:
+    return frames.OfficeRecord(office, "127.0.0.1", port or 4000 + office, state, 0, 0, cell, 1000, started)
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -35,7 +35,7 @@
     rig.says(link, "running", uid, body="v=0\r\nanswer \u00e4")
     assert [m.body for m in rig.to(uid, client)] == ["v=0\r\nanswer \u00e4"]
     rig.says(link, "running", uid, body="a second copy")
-    rig.says(link, "stop", uid, causes.NORMAL)
+    rig.says(link, "stop", uid, causes.NORMAL_CLEARING)
     assert [m.kind for m in rig.to(uid, client)] == ["running", "stop"]
     assert not rig.server.standing and not rig.server.calls and rig.server.module.legs == {}
 
@@ -67,7 +67,7 @@
 def test_no_second_attempt_before_the_release_time_after_a_reset() -> None:
     rig = Rig()
     uid = rig.launch(rig.client())
-    rig.says(rig.sent(uid), "stop", uid, causes.TEMPORARY)
+    rig.says(rig.sent(uid), "stop", uid, causes.TEMPORARY_FAILURE)
     rig.passes(99.0)
     assert len(rig.to(uid, kind="launch")) == 1
     rig.passes(200.0)
@@ -80,7 +80,7 @@
     uid = rig.launch(client)
     link = rig.sent(uid)
     rig.passes(501.0)
-    assert causes_of(rig.to(uid, link)) == [causes.NORMAL]
+    assert causes_of(rig.to(uid, link)) == [causes.NORMAL_CLEARING]
     rig.says(link, "running", uid, body="too late")  # crosses the give-up
     assert not rig.to(uid, client, "running")
     rig.passes(1_500.0)
@@ -94,10 +94,10 @@
     uid = rig.launch(client)
     link = rig.sent(uid)
     if goes == "stop":
-        rig.line(client, Message(jsonl.STOP, uid, {}, causes.NORMAL))
+        rig.line(client, Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING))
     else:
         rig.server.client_closed(rig.now, client)
-    assert causes_of(rig.to(uid, link)) == [causes.NORMAL]
+    assert causes_of(rig.to(uid, link)) == [causes.NORMAL_CLEARING]
     rig.says(link, "running", uid, body="crossed")
     rig.passes(2_000.0)
     assert not rig.to(uid, client) and not rig.server.calls and not rig.server.standing
@@ -107,7 +107,7 @@
     rig = Rig()
     uid, _ = rig.stands(rig.client())
     other = rig.client()
-    rig.line(other, Message(jsonl.STOP, uid, {}, causes.NORMAL))
+    rig.line(other, Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING))
     assert [m.kind for c, m in rig.out if m.uid == uid and c == other] == ["stopped"]
     assert rig.out[-2][1].kind == "stop" and not rig.server.standing and not rig.server.calls
 
@@ -175,13 +175,13 @@
         rig.passes(500.0, connect=False)
         rig.refuse()
         rig.says(link, "usage", "", load="free:19;size:20")
-    rig.says(link, "stop", kept, causes.NORMAL)
+    rig.says(link, "stop", kept, causes.NORMAL_CLEARING)
     assert [m.kind for m in rig.to(kept, client)] == ["running", "stop"] and lost in rig.server.standing
     begun = rig.now
     while lost in rig.server.standing:
         rig.passes(50.0, connect=False)
         rig.refuse()
-    assert rig.now - begun < 3_000.0 and causes_of(rig.to(lost, client)) == [causes.TEMPORARY]
+    assert rig.now - begun < 3_000.0 and causes_of(rig.to(lost, client)) == [causes.TEMPORARY_FAILURE]
 
 
 @pytest.mark.parametrize("refused", [True, False])
@@ -197,7 +197,7 @@
         rig.passes(50.0, connect=False)
         rig.refuse(refused)
     assert rig.now - begun < (200.0 if refused else LOST_AFTER + 1_500.0)
-    assert causes_of(rig.to(uid, client)) == [causes.TEMPORARY] and not rig.server.calls
+    assert causes_of(rig.to(uid, client)) == [causes.TEMPORARY_FAILURE] and not rig.server.calls
 
 
 def test_a_restarted_office_and_one_at_an_old_address_end_what_stood_before() -> None:
@@ -205,11 +205,11 @@
     client = rig.client()
     one, _ = rig.stands(client)
     rig.news(2, record(11, 1, started=900))
-    assert causes_of(rig.to(one, client)) == [causes.TEMPORARY]
+    assert causes_of(rig.to(one, client)) == [causes.TEMPORARY_FAILURE]
     two, old = rig.stands(client, dest=2)
-    rig.news(3, record(12, 2, frames.GONE), record(77, 2, port=4012))
+    rig.news(3, record(12, 2, frames.REMOVED), record(77, 2, port=4012))
     rig.passes(100.0)
-    assert causes_of(rig.to(two, client)) == [causes.TEMPORARY]
+    assert causes_of(rig.to(two, client)) == [causes.TEMPORARY_FAILURE]
     assert old in rig.closed and old not in rig.server.pools[77].links
 
 
@@ -222,8 +222,8 @@
     rig.server.client_closed(rig.now, own)
     rig.passes(10.0)
     stranger = rig.client()
-    rig.line(stranger, Message(jsonl.STOP, rig.uid(), {}, causes.NORMAL))
-    rig.says(link, "stop", uid, causes.NORMAL)
+    rig.line(stranger, Message(jsonl.STOP, rig.uid(), {}, causes.NORMAL_CLEARING))
+    rig.says(link, "stop", uid, causes.NORMAL_CLEARING)
     assert [c for c, m in rig.out if m.uid == uid and m.kind == "stop"] == [usual]
     rig.passes(300.0)
     assert rig.to(uid, stranger, "stop")  # not heard: told again elsewhere
@@ -238,7 +238,7 @@
     own = rig.client()
     uid, link = rig.stands(own)
     rig.server.client_closed(rig.now, own)
-    rig.says(link, "stop", uid, causes.NORMAL)
+    rig.says(link, "stop", uid, causes.NORMAL_CLEARING)
     assert len(rig.to(uid, kind="stop")) == 0
     one = rig.client()
     rig.launch(one)
@@ -255,15 +255,15 @@
     rig = Rig()
     client = rig.client()
     early, later, lost = rig.uid(), rig.uid(), rig.uid()
-    rig.says(rig.link(11), "stop", early, causes.NORMAL)
+    rig.says(rig.link(11), "stop", early, causes.NORMAL_CLEARING)
     rig.launch(client, uid=early, words=";at:s-0000000b")
-    assert causes_of(rig.to(early, client)) == [causes.NORMAL]
+    assert causes_of(rig.to(early, client)) == [causes.NORMAL_CLEARING]
     rig.launch(client, uid=later, words=";at:s-0000000b")
     assert not rig.to(later) and later in rig.server.standing
-    rig.says(rig.link(11), "stop", later, causes.TEMPORARY)
-    assert causes_of(rig.to(later, client)) == [causes.TEMPORARY]
+    rig.says(rig.link(11), "stop", later, causes.TEMPORARY_FAILURE)
+    assert causes_of(rig.to(later, client)) == [causes.TEMPORARY_FAILURE]
     rig.launch(client, uid=lost, words=";at:s-0000dead")
-    assert causes_of(rig.to(lost, client)) == [causes.TEMPORARY]
+    assert causes_of(rig.to(lost, client)) == [causes.TEMPORARY_FAILURE]
 
 
 BAD: list[dict[str, Any]] = [
@@ -327,8 +327,8 @@
     uid = rig.launch(client)
     link = rig.sent(uid)
     rig.launch(client, uid=uid)
-    assert causes_of(rig.to(uid, client)) == [causes.PROTOCOL]
-    assert causes_of(rig.to(uid, link)) == [causes.NORMAL]
+    assert causes_of(rig.to(uid, client)) == [causes.PROTOCOL_ERROR]
+    assert causes_of(rig.to(uid, link)) == [causes.NORMAL_CLEARING]
 
 
 def test_the_id_of_another_s_call_does_not_touch_it() -> None:
@@ -336,7 +336,7 @@
     usual, bad = rig.client(), rig.client()
     uid = rig.launch(usual)
     rig.launch(bad, uid=uid)
-    assert causes_of(rig.to(uid, bad)) == [causes.PROTOCOL] and not rig.to(uid, usual)
+    assert causes_of(rig.to(uid, bad)) == [causes.PROTOCOL_ERROR] and not rig.to(uid, usual)
     rig.says(rig.sent(uid), "running", uid, body="an answer")
     assert [m.kind for m in rig.to(uid, usual)] == ["running"]
 
@@ -441,14 +441,14 @@
     rig = Rig()
     rig.news(2, record(13, 3))
     assert 13 in rig.server.pools
-    rig.news(2, record(13, 3, frames.GONE))  # told twice
+    rig.news(2, record(13, 3, frames.REMOVED))  # told twice
     assert rig.server.offices.known[13].readiness.name == "READY"
     with pytest.raises(FrameError):
-        rig.news(4, record(13, 3, frames.GONE))  # one is missing
+        rig.news(4, record(13, 3, frames.REMOVED))  # one is missing
     with pytest.raises(FrameError):
-        rig.news(3, frames.Record(14, "127.0.0.1", 1, 0, 9, 0, 4, 1, 0))  # no such zone
+        rig.news(3, frames.OfficeRecord(14, "127.0.0.1", 1, 0, 9, 0, 4, 1, 0))  # no such zone
     assert rig.server.offices.last == 2 and 14 not in rig.server.offices.known
-    rig.news(9, record(12, 2), kind=frames.WHOLE)  # the whole list may jump
+    rig.news(9, record(12, 2), kind=frames.FULL_LIST)  # the whole list may jump
     assert rig.server.offices.last == 9 and set(rig.server.pools) == {12}
 
 
@@ -490,8 +490,8 @@
     assert rig.to(rig.launch(client, dest=2, words=";transit:1"), kind="launch")
     rig.passes(STOP_TRANSIT - STOP_TAKES)
     assert causes_of(rig.to(rig.launch(client, dest=2, words=";transit:1"))) == [causes.CONGESTION]
-    rig.says(link, "stop", stood, causes.NORMAL)
-    assert causes_of(rig.to(stood, client)) == [causes.NORMAL] and not rig.server.stopped(rig.now)
+    rig.says(link, "stop", stood, causes.NORMAL_CLEARING)
+    assert causes_of(rig.to(stood, client)) == [causes.NORMAL_CLEARING] and not rig.server.stopped(rig.now)
     rig.passes(STOP_ENDS)
     assert len(rig.to(held, client)) == 1 and len(rig.to(uid, client)) == 1 and rig.server.stopped(rig.now)
 
@@ -512,11 +512,11 @@
     client = rig.client()
     uid = rig.launch(client)
     assert rig.server.module.offices[11].free == 19.0
-    rig.says(rig.sent(uid), "stop", uid, causes.TIMER, note="queue_long", waited="900")
+    rig.says(rig.sent(uid), "stop", uid, causes.TIMER_EXPIRY, note="queue_long", waited="900")
     assert rig.server.module.offices[11].free == 20.0
     rig = Rig()
     uid = rig.launch(rig.client())
-    rig.says(rig.sent(uid), "stop", uid, causes.TIMER, note="no_path")
+    rig.says(rig.sent(uid), "stop", uid, causes.TIMER_EXPIRY, note="no_path")
     assert rig.server.module.offices[11].free == 0.0  # its own word is newer than the last news
 
 
@@ -557,7 +557,7 @@
         if self.asked:
             uid = data.draw(st.sampled_from(sorted(self.asked)))
             self.left.add(uid)
-            self.rig.line(self.asked[uid], Message(jsonl.STOP, uid, {}, causes.NORMAL))
+            self.rig.line(self.asked[uid], Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING))
 
     @rule(which=st.integers(0, 2))
     def client_closes(self, which: int) -> None:
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ospreybridge.fronts.access import Front
-from ospreybridge.net.loop import Loop
+from ospreybridge.net.loop import EventLoop
 from ospreybridge.settings.platform import build
 from ospreybridge.signalling import frames
 from ospreybridge.standins.platform import CallerStandIn, JournalService, OfficeStandIn
@@ -26,10 +26,10 @@
 
 class World:
     def __init__(self) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.offices = [OfficeStandIn(self.loop) for _ in range(3)]
         self.records = [record(10 + cell, cell, port=x.port) for cell, x in enumerate(self.offices)]
-        self.journal = JournalService(self.loop, [frames.Frame(1, frames.WHOLE, tuple(self.records))])
+        self.journal = JournalService(self.loop, [frames.Frame(1, frames.FULL_LIST, tuple(self.records))])
         self.serial = 0
 
     def config(self) -> dict[str, object]:
@@ -40,7 +40,7 @@
         )
 
     def serve(self) -> Front:
-        self.loop.failed = lambda name, error: pytest.fail(f"{name}: {error!r}")
+        self.loop.on_task_error = lambda name, error: pytest.fail(f"{name}: {error!r}")
         front = Front(self.loop, build("config.json", self.config()), 0.0)
         self.until(lambda: all(len(pool.links) == 2 for pool in front.core.pools.values()))
         return front
@@ -123,7 +123,7 @@
     front = world.serve()
     endless, half = (CallerStandIn(world.loop, front.port) for _ in range(2))
     half.stream.write(b'{"kind":"launch"')
-    endless.stream.limit = 1 << 24
+    endless.stream.max_unsent_bytes = 1 << 24
     endless.stream.write(b"x" * (1 << 20))
     world.until(lambda: endless.gone and half.gone)
     assert not front.core.clients
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 from ospreybridge.lab.harness import ACM, iam, rel
 from ospreybridge.lab.tap import Record
 from ospreybridge.signalling import causes, isup, m3ua
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 CALLERS, OFFICE, LIST = 2_001, 1_002, 16_000
 FACTS = Facts(
@@ -31,13 +31,13 @@
     def __init__(self) -> None:
         self.records: list[Record] = []
 
-    def say(self, at: float, source: int, target: int, message: Isup) -> Story:
+    def say(self, at: float, source: int, target: int, message: IsupMessage) -> Story:
         data = m3ua.Data(source, target, 5, 2, 0, 0, isup.encode(message), 1)
         self.records.append(Record(at, tap.FRAME, source, target, m3ua.encode_data(data)))
         return self
 
     def tell(self, at: float, target: int, kind: tuple[int, int], code: int, info: str) -> Story:
-        self.records.append(Record(at, tap.FRAME, LIST, target, m3ua.ssnm(kind, 1, 0, code, info)))
+        self.records.append(Record(at, tap.FRAME, LIST, target, m3ua.encode_ssnm(kind, 1, 0, code, info)))
         return self
 
     def judge(self) -> Verdict:
@@ -51,22 +51,32 @@
 
 
 def test_a_clean_call_breaks_nothing() -> None:
-    story = begun().say(50, 2, 1, Isup(5, isup.ACM, ACM)).say(55, 1, CALLERS, Isup(1, isup.ACM, ACM))
-    story.say(900, CALLERS, 1, rel(1, 16)).say(901, 1, CALLERS, Isup(1, isup.RLC)).say(902, 1, 2, rel(5, 16))
-    assert story.say(910, 2, 1, Isup(5, isup.RLC)).judge().broken == []
+    story = (
+        begun()
+        .say(50, 2, 1, IsupMessage(5, isup.ACM, ACM))
+        .say(55, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    )
+    story.say(900, CALLERS, 1, rel(1, 16)).say(901, 1, CALLERS, IsupMessage(1, isup.RLC)).say(
+        902, 1, 2, rel(5, 16)
+    )
+    assert story.say(910, 2, 1, IsupMessage(5, isup.RLC)).judge().broken == []
 
 
 def test_rule_1_no_answer_a_late_one_two_of_them_and_something_after() -> None:
     never = begun().say(9_000, CALLERS, 1, iam(2, "370020001", "502"))
     assert never.judge().rules[1] == 2  # neither exchange answered
-    late = begun().say(3_200, 1, CALLERS, Isup(1, isup.ACM, ACM))
+    late = begun().say(3_200, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
     assert sorted(text.split(": ", 1)[1] for text in late.judge().broken) == [
         "exchange 1: 501 155 ms late",
         "exchange 2 never answered the call of 501",
     ]
-    twice = begun().say(50, 1, CALLERS, Isup(1, isup.ACM, ACM)).say(60, 1, CALLERS, Isup(1, isup.ACM, ACM))
+    twice = (
+        begun()
+        .say(50, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        .say(60, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    )
     assert twice.judge().rules[1] == 1
-    after = begun().say(50, 1, CALLERS, rel(1, 34)).say(70, 1, CALLERS, Isup(1, isup.ACM, ACM))
+    after = begun().say(50, 1, CALLERS, rel(1, 34)).say(70, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
     assert after.judge().rules[1] == 1
     goes_on = begun().say(50, 1, 2, rel(5, 16)).say(60, 1, CALLERS, rel(1, 34))
     goes_on.say(900, 1, 3, iam(6, "370020001", "501"))
@@ -77,7 +87,7 @@
     assert begun().say(20, 1, 3, iam(7, "370020001", "501")).judge().rules[2] == 1
     crossed = Story().say(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
     crossed.say(5, 1, 2, iam(4, "370020001", "501")).say(6, 2, 1, iam(4, "370010001", "601"))
-    crossed.say(9, 1, 3, iam(7, "370020001", "501")).say(40, 1, CALLERS, Isup(1, isup.ACM, ACM))
+    crossed.say(9, 1, 3, iam(7, "370020001", "501")).say(40, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
     assert crossed.judge().rules[2] == 0  # exchange 2 controls the even circuits
 
 
@@ -110,8 +120,8 @@
         story = begun().say(2_005, 1, 2, rel(5, cause))
         return story.say(2_005 + after, 1, 3, iam(7, "370020001", "501")).judge()
 
-    assert again(100, causes.TIMER).rules[5] == 1
-    assert again(205, causes.TIMER).rules[5] == 0
+    assert again(100, causes.TIMER_EXPIRY).rules[5] == 1
+    assert again(205, causes.TIMER_EXPIRY).rules[5] == 0
 
 
 def test_frames_that_nobody_can_read_are_counted() -> None:
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from ospreybridge.core.circuits import State, TrunkGroup, runs
+from ospreybridge.core.circuits import CircuitState, TrunkGroup, runs
 from ospreybridge.interface import Action, Event, Request
 from ospreybridge.lab.harness import ACM, CALLERS, CENTRE, OFFICE, Harness, iam, rel, server
 from ospreybridge.settings.server import Peer
 from ospreybridge.signalling import causes, isup, m3ua, sccp
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 Data = Callable[[int, int, bytes], None]
 
@@ -26,7 +26,7 @@
     return harness
 
 
-def one(h: Harness, point_code: int, kind: int) -> Isup:
+def one(h: Harness, point_code: int, kind: int) -> IsupMessage:
     found = [message for message in h.take(point_code) if message.type == kind]
     assert len(found) == 1, f"{isup.NAMES[kind]}: {[m.name for m in found]}"
     return found[0]
@@ -35,16 +35,16 @@
 def test_a_call_goes_direct_stands_and_is_released_with_every_circuit_back(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", left=3_000))
     out = one(h, 2, isup.IAM)
-    assert isup.called_number(out.parameters[isup.CALLED]) == "370020001"
+    assert isup.decode_called_number(out.parameters[isup.CALLED_NUMBER]) == "370020001"
     assert h.core.groups[2].free == 3
-    h.give(2, Isup(out.cic, isup.ACM, ACM))
-    h.give(2, Isup(out.cic, isup.ANM))
+    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))
+    h.give(2, IsupMessage(out.cic, isup.ANM))
     assert [m.type for m in h.take(CALLERS)] == [isup.ACM, isup.ANM]
-    h.give(CALLERS, rel(1, causes.NORMAL))
+    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     one(h, CALLERS, isup.RLC)
     one(h, 2, isup.REL)
     assert h.core.groups[2].free == 3  # taken until RLC
-    h.give(2, Isup(out.cic, isup.RLC))
+    h.give(2, IsupMessage(out.cic, isup.RLC))
     assert h.core.groups[2].free == 4 and not h.core.calls
 
 
@@ -53,19 +53,19 @@
     h.up()
     h.ready()
     for cic in (1, 3):
-        h.give(2, Isup(cic, isup.BLO))
+        h.give(2, IsupMessage(cic, isup.BLO))
     h.take(2)
     h.give(CALLERS, iam(5, "370020001", width=2))
     out = one(h, 2, isup.IAM)
-    assert out.parameters[isup.REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
-    assert isup.mapped_circuits(out.cic, out.parameters[isup.CIRCUIT_MAP]) == (2, 4)
+    assert out.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
+    assert isup.decode_circuit_map(out.cic, out.parameters[isup.CIRCUIT_ASSIGNMENT_MAP]) == (2, 4)
     assert h.core.groups[2].free == 0
 
 
 def test_full_groups_go_over_the_tandem_with_most_free_circuits(h: Harness) -> None:
     for cic in (1, 2, 3, 4):
-        h.give(2, Isup(cic, isup.BLO))
-    h.give(3, Isup(1, isup.BLO))
+        h.give(2, IsupMessage(cic, isup.BLO))
+    h.give(3, IsupMessage(1, isup.BLO))
     h.take(2)
     h.give(CALLERS, iam(1, "370020001"))
     assert one(h, 4, isup.IAM) and not h.take(2)
@@ -73,7 +73,10 @@
 
 def test_an_unallocated_number_and_a_bad_circuit_are_told_at_once(h: Harness) -> None:
     h.give(CALLERS, iam(1, "99"))
-    assert isup.cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE])[0] == causes.UNALLOCATED
+    assert (
+        isup.decode_cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        == causes.UNALLOCATED_NUMBER
+    )
     h.give(2, iam(9, "370010001"))
     one(h, 2, isup.UCIC)
 
@@ -83,18 +86,20 @@
     h.up()
     h.ready()
 
-    def full(code: int, message: Isup) -> None:
+    def full(code: int, message: IsupMessage) -> None:
         if message.type == isup.IAM:
-            h.timers.at(h.now + 20, lambda now: h.give(2, rel(message.cic, causes.CONGESTION, retry=900)))
+            h.timers.schedule(
+                h.now + 20, lambda now: h.give(2, rel(message.cic, causes.CONGESTION, retry=900))
+            )
 
     h.watch = full
     h.give(CALLERS, iam(1, "370020001"))
     h.advance(8_995)
     assert len([m for m in h.take(2) if m.type == isup.IAM]) <= 4
     answer = one(h, CALLERS, isup.REL)
-    assert isup.cause(answer.parameters[isup.CAUSE])[0] == causes.CONGESTION
+    assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.CONGESTION
     assert answer.parameters[isup.CONGESTION_LEVEL] == b"\2"
-    assert 0 < isup.words(answer.parameters[isup.USER_TO_USER])["retry"] <= 2_000
+    assert 0 < isup.decode_user_words(answer.parameters[isup.USER_TO_USER])["retry"] <= 2_000
 
 
 def test_dual_seizure_on_every_circuit_at_once_loses_no_call() -> None:
@@ -124,13 +129,13 @@
 def test_an_answer_after_the_caller_gave_up_changes_nothing(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
     out = one(h, 2, isup.IAM)
-    h.give(CALLERS, rel(1, causes.NORMAL))
+    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     assert [m.type for m in h.take(CALLERS)] == [isup.RLC]
     one(h, 2, isup.REL)
-    h.give(2, Isup(out.cic, isup.ACM, ACM))  # crosses our REL
-    h.give(2, Isup(out.cic, isup.ANM))
+    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))  # crosses our REL
+    h.give(2, IsupMessage(out.cic, isup.ANM))
     assert not h.take(CALLERS) and not h.core.calls
-    h.give(2, Isup(out.cic, isup.RLC))
+    h.give(2, IsupMessage(out.cic, isup.RLC))
     assert h.core.groups[2].free == 4
 
 
@@ -139,15 +144,15 @@
         h.give(CALLERS, iam(1, "370020001"))
         out = one(h, 2, isup.IAM)
         steps = [
-            (2, Isup(out.cic, isup.ACM, ACM)),
-            (CALLERS, rel(1, causes.NORMAL)),
+            (2, IsupMessage(out.cic, isup.ACM, ACM)),
+            (CALLERS, rel(1, causes.NORMAL_CLEARING)),
         ]
         for code, message in steps if first == "answer" else reversed(steps):
             h.give(code, message)
         sent = [m.type for m in h.take(CALLERS)]
         assert sent == ([isup.ACM, isup.RLC] if first == "answer" else [isup.RLC])
         one(h, 2, isup.REL)
-        h.give(2, Isup(out.cic, isup.RLC))
+        h.give(2, IsupMessage(out.cic, isup.RLC))
         assert h.core.groups[2].free == 4 and not h.core.calls
 
 
@@ -159,7 +164,7 @@
     begun = h.now
     h.advance(2_100)
     released = [m for m in h.take(2) if m.type == isup.REL]
-    assert isup.cause(released[0].parameters[isup.CAUSE])[0] == causes.TIMER
+    assert isup.decode_cause(released[0].parameters[isup.CAUSE_INDICATORS])[0] == causes.TIMER_EXPIRY
     h.advance(6_895)
     final = [m for m in h.take(CALLERS) if m.type == isup.REL]
     assert len(final) == 1 and h.now - begun < 9_000
@@ -169,21 +174,21 @@
 def test_a_circuit_without_rlc_stays_taken_and_is_reset_by_its_timers(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
     out = one(h, 2, isup.IAM)
-    h.give(CALLERS, rel(1, causes.NORMAL))
+    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     h.advance(299_000)
     kinds = [m.type for m in h.take(2)]
     assert kinds.count(isup.REL) == 20 and isup.RSC not in kinds  # T1 every 15 s
     h.advance(20_000)
     resets = [m.cic for m in h.take(2) if m.type == isup.RSC]
     assert resets == [out.cic] * 2 and h.core.groups[2].free == 3  # RSC is repeated by T16
-    h.give(2, Isup(out.cic, isup.RLC))
+    h.give(2, IsupMessage(out.cic, isup.RLC))
     assert h.core.groups[2].free == 4
 
 
 def test_a_lost_association_ends_its_calls_and_is_reset_when_it_returns(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", "501"))
     standing = one(h, 2, isup.IAM)
-    h.give(2, Isup(standing.cic, isup.ACM, ACM))
+    h.give(2, IsupMessage(standing.cic, isup.ACM, ACM))
     h.give(CALLERS, iam(2, "370020001", "502"))
     one(h, 2, isup.IAM)
     h.take(CALLERS)
@@ -196,7 +201,12 @@
     assert len(retried) == 1 and h.now - begun >= 200  # the pending one goes another way, after the release
     h.core.link_up(h.now, 2, h.wires[2])
     assert one(h, 2, isup.GRS).cic == 1 and h.core.groups[2].free == 0
-    h.give(2, Isup(1, isup.GRA, {isup.RANGE_STATUS: isup.range_octets(4, [False, True, False, False])}))
+    h.give(
+        2,
+        IsupMessage(
+            1, isup.GRA, {isup.RANGE_STATUS: isup.encode_range_status(4, [False, True, False, False])}
+        ),
+    )
     assert h.core.groups[2].free == 3  # one is blocked at the far end
 
 
@@ -204,16 +214,16 @@
     group = h.core.groups[2]
     h.core.block(h.now, 2, 3, True)
     one(h, 2, isup.BLO)
-    h.give(2, Isup(3, isup.BLA))
-    octets = isup.range_octets(2, [True, False])
-    h.give(2, Isup(1, isup.CGB, {isup.SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
+    h.give(2, IsupMessage(3, isup.BLA))
+    octets = isup.encode_range_status(2, [True, False])
+    h.give(2, IsupMessage(1, isup.CGB, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
     one(h, 2, isup.CGBA)
     assert group.free == 2
-    h.give(2, Isup(3, isup.BLO))
+    h.give(2, IsupMessage(3, isup.BLO))
     h.core.block(h.now, 2, 3, False)
     assert group.free == 2  # still blocked by the far end
-    h.give(2, Isup(3, isup.UBL))
-    h.give(2, Isup(1, isup.CGU, {isup.SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
+    h.give(2, IsupMessage(3, isup.UBL))
+    h.give(2, IsupMessage(1, isup.CGU, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
     assert group.free == 4
 
 
@@ -221,18 +231,21 @@
     h.give(2, iam(1, "370030001", left=2_000))
     assert one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     for cic in range(1, 5):
-        h.give(4, Isup(cic, isup.BLO))
+        h.give(4, IsupMessage(cic, isup.BLO))
     h.give(2, iam(2, "370040001", left=2_000))
     answer = one(h, 2, isup.REL)
-    assert isup.cause(answer.parameters[isup.CAUSE])[0] == causes.NO_CIRCUIT
-    assert isup.point_code(answer.parameters[isup.POINT_CODE]) == 1
+    assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.NO_CIRCUIT
+    assert isup.decode_point_code(answer.parameters[isup.SIGNALLING_POINT_CODE]) == 1
 
 
 def test_a_drained_exchange_gets_nothing_new(h: Harness) -> None:
     h.ready(2, m3ua.DRST, 2)
     h.advance(300)
     h.give(CALLERS, iam(1, "370020001"))
-    assert isup.cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE])[0] == causes.OUT_OF_ORDER
+    assert (
+        isup.decode_cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        == causes.DESTINATION_OUT_OF_ORDER
+    )
     assert not [m for code in (2, 3, 4) for m in h.take(code) if m.type == isup.IAM]
 
 
@@ -242,7 +255,7 @@
     h.core.stop(h.now)
     assert [m.type for m in h.take(3)] == [isup.CGB]
     h.give(CALLERS, iam(2, "370020001", "502"))  # its IAM crossed the blocking
-    h.give(2, Isup(out.cic, isup.ACM, ACM))
+    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))
     assert isup.ACM in [m.type for m in h.take(CALLERS)]
     h.core.release_all(h.now)
     assert isup.REL in [m.type for m in h.take(CALLERS)] and not h.core.calls
@@ -259,17 +272,17 @@
         for code in (2, 3, 4):
             for message in h.take(code):
                 if message.type == isup.IAM:
-                    h.give(code, Isup(message.cic, isup.ACM, ACM))
+                    h.give(code, IsupMessage(message.cic, isup.ACM, ACM))
                 elif message.type == isup.REL:
-                    h.give(code, Isup(message.cic, isup.RLC))
+                    h.give(code, IsupMessage(message.cic, isup.RLC))
         h.advance(rng.random() * 50)
         for message in h.take(CALLERS):
             if message.type == isup.REL:
-                h.give(CALLERS, Isup(message.cic, isup.RLC))
+                h.give(CALLERS, IsupMessage(message.cic, isup.RLC))
                 standing.remove(message.cic)
         while len(standing) > 8:
             ended = standing.pop(0)
-            h.give(CALLERS, rel(ended, causes.NORMAL))
+            h.give(CALLERS, rel(ended, causes.NORMAL_CLEARING))
         for code in (2, 3, 4):
             known = h.core.module.offices[code].free
             assert known == h.core.groups[code].free, f"exchange {code} after {serial} calls"
@@ -291,27 +304,29 @@
 def test_selection_prefers_our_own_longest_idle_circuits() -> None:
     group = TrunkGroup("g", (1, 2, 3, 4), 1, 2, set())
     for circuit in group.circuits.values():
-        group.set(circuit, State.IDLE)
-    assert [group.choose(1), group.choose(2)] == [(1,), (1, 2)]
-    group.set(group.circuits[1], State.OUT)
-    assert group.choose(1) == (3,) and group.free == 3
+        group.set_state(circuit, CircuitState.IDLE)
+    assert [group.select(1), group.select(2)] == [(1,), (1, 2)]
+    group.set_state(group.circuits[1], CircuitState.SEIZED)
+    assert group.select(1) == (3,) and group.free == 3
     assert runs([1, 2, 3, 7, *range(33, 70)]) == [(1, 3), (7, 1), (33, 32), (65, 5)]
 
 
 def told(h: Harness, point_code: int, subsystem: int, body: bytes) -> None:
     unit = sccp.encode(subsystem, body)
-    h.core.data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
+    h.core.receive_data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
 
 
 def test_peer_messages_and_the_centre_s_advice_reach_the_module_over_the_wire() -> None:
     settings = server(4, circuits=4)
-    centre = Peer("centre", "centre", CENTRE, 4, dial=("127.0.0.1", 1))
+    centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
     h = Harness(replace(settings, peers=(*settings.peers, centre), advice=True))
     h.up()
     h.ready()
     for cic in (1, 2, 3, 4):
-        h.give(2, Isup(cic, isup.BLO))  # nothing goes direct to exchange 2
-    told(h, 3, sccp.PEERS, b"\3\0" + (1 << 2).to_bytes(1, "little"))  # nothing goes on from 3 to 2 either
+        h.give(2, IsupMessage(cic, isup.BLO))  # nothing goes direct to exchange 2
+    told(
+        h, 3, sccp.PEER_SUBSYSTEM, b"\3\0" + (1 << 2).to_bytes(1, "little")
+    )  # nothing goes on from 3 to 2 either
     h.take(3)
     for serial in range(3):
         h.give(CALLERS, iam(1 + serial, "370020001", f"50{serial}"))
@@ -327,8 +342,8 @@
         return handle(now, event)
 
     h.core.module.handle = watched  # type: ignore[method-assign]
-    told(h, CENTRE, sccp.CENTRE, bytes((2, 4, 3, 255)))
-    told(h, 3, sccp.CENTRE, bytes((2, 3)))  # only the centre advises
+    told(h, CENTRE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
+    told(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # only the centre advises
     h.give(CALLERS, iam(7, "370020001", "507"))
     h.give(CALLERS, iam(8, "370030001", "508"))
     assert seen == [4, -1]
@@ -336,37 +351,40 @@
 
 def test_the_servers_tell_each_other_and_the_centre_what_is_free() -> None:
     settings = server(3, circuits=4)
-    centre = Peer("centre", "centre", CENTRE, 4, dial=("127.0.0.1", 1))
+    centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
     limits = replace(settings.limits, peer_messages=True)
     h = Harness(replace(settings, peers=(*settings.peers, centre), limits=limits))
     sent: list[tuple[int, int, bytes]] = []
     for code, wire in h.wires.items():
-        usual = wire.data
+        usual = wire.send_data
 
         def data(service: int, sls: int, body: bytes, code: int = code, usual: Data = usual) -> None:
             if service == m3ua.SI_SCCP:
                 sent.append((code, *sccp.decode(body)))
             usual(service, sls, body)
 
-        wire.data = data  # type: ignore[method-assign]
+        wire.send_data = data  # type: ignore[method-assign]
     h.up()
     h.ready()
     h.advance(8_000)
-    peers = {code for code, subsystem, _ in sent if subsystem == sccp.PEERS}
+    peers = {code for code, subsystem, _ in sent if subsystem == sccp.PEER_SUBSYSTEM}
     assert peers == {2, 3}
-    reports = [body for code, subsystem, body in sent if (code, subsystem) == (CENTRE, sccp.CENTRE)]
+    reports = [body for code, subsystem, body in sent if (code, subsystem) == (CENTRE, sccp.CENTRE_SUBSYSTEM)]
     assert len(reports) >= 7 and reports[-1] == bytes((1, 2, 0, 4, 3, 0, 4))
 
 
 def test_an_empty_optional_parameter_is_as_good_as_none_and_leaks_no_call(h: Harness) -> None:
     message = iam(1, "370030001")
-    message.parameters |= {isup.HOP_COUNTER: b"", isup.USER_TO_USER: b"", isup.POINT_CODE: b""}
+    message.parameters |= {isup.HOP_COUNTER: b"", isup.USER_TO_USER: b"", isup.SIGNALLING_POINT_CODE: b""}
     h.give(2, message)
     assert one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     circling = iam(2, "370030001")
     circling.parameters[isup.HOP_COUNTER] = b"\0"
     h.give(2, circling)
-    assert isup.cause(one(h, 2, isup.REL).parameters[isup.CAUSE])[0] == causes.ROUTING
+    assert (
+        isup.decode_cause(one(h, 2, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        == causes.EXCHANGE_ROUTING_ERROR
+    )
 
 
 def test_a_blocking_taken_back_before_its_acknowledgement_is_not_repeated(h: Harness) -> None:
@@ -375,6 +393,6 @@
     h.take(2)
     h.advance(40_000)
     assert {m.type for m in h.take(2)} == {isup.UBL} and h.core.groups[2].free == 4
-    h.give(2, Isup(3, isup.UBA))
+    h.give(2, IsupMessage(3, isup.UBA))
     h.advance(40_000)
     assert not h.take(2)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -11,18 +11,18 @@
 from click.testing import CliRunner
 
 from ospreybridge.cli.main import main
-from ospreybridge.core.changeover import Path as LinkPath
-from ospreybridge.core.changeover import Told
-from ospreybridge.core.handshakes import DOUBLINGS, PATIENCE, SHARE, Handshakes
-from ospreybridge.core.renewal import AT_ONCE, Renewals
-from ospreybridge.core.sessions import RESUMES, Sessions
-from ospreybridge.core.timers import Timers
-from ospreybridge.keys import facts, judge, material
-from ospreybridge.keys.authority import Authority
-from ospreybridge.keys.facts import DIALS, SERVES
-from ospreybridge.keys.judge import Reason
+from ospreybridge.core.changeover import HeartbeatCallback
+from ospreybridge.core.changeover import PeerLink as LinkPath
+from ospreybridge.core.handshakes import CPU_SHARE, MAX_DOUBLINGS, STALLED_AFTER_MS, HandshakeScheduler
+from ospreybridge.core.renewal import MAX_CONCURRENT_MOVES, RenewalScheduler
+from ospreybridge.core.sessions import MAX_RESUMPTIONS, SessionCache
+from ospreybridge.core.timers import TimerQueue
+from ospreybridge.keys import certificate_info, credentials, validation
+from ospreybridge.keys.authority import CertificateAuthority
+from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH
+from ospreybridge.keys.validation import FailureReason
 from ospreybridge.keys.watch import DAY, Expiry
-from ospreybridge.net.tls import Contexts
+from ospreybridge.net.tls import TlsContexts
 
 
 @pytest.mark.parametrize(
@@ -39,46 +39,68 @@
     ],
 )
 def test_names_are_exact(wanted: str, shown: str, wildcard: bool, same: bool) -> None:
-    assert judge.same_name(wanted, shown, wildcard) is same
+    assert validation.dns_name_matches(wanted, shown, wildcard) is same
 
 
 def test_certificates_are_judged_by_san_dates_key_purpose_and_list(tmp_path: Path) -> None:
-    authority, now = Authority.make(tmp_path, 30.0), time.time()
-    good = facts.of(authority.issue("good", ["cs1.test"]))
-    assert judge.fault(good, now, SERVES, ()) is None and judge.fault(good, now, DIALS, ()) is None
-    common = facts.of(authority.issue("cn", [], common="cs1.test"))
-    assert not judge.named(common, "cs1.test", True)  # the CN is no name
-    assert judge.fault(good, good.not_after + 1, SERVES, ()) is Reason.EXPIRED
-    assert judge.fault(good, good.not_before - 1, SERVES, ()) is Reason.NOT_YET
-    assert judge.fault(good, now, SERVES, {(good.issuer, good.serial)}) is Reason.REVOKED
-    assert judge.fault(good, now, SERVES, {(b"another", good.serial)}) is None
+    authority, now = CertificateAuthority.create(tmp_path, 30.0), time.time()
+    good = certificate_info.from_certificate(authority.issue("good", ["cs1.test"]))
     assert (
-        judge.fault(facts.of(authority.issue("w", ["a"], rsa_bits=1_024)), now, SERVES, ()) is Reason.WEAK_KEY
+        validation.certificate_error(good, now, SERVER_AUTH, ()) is None
+        and validation.certificate_error(good, now, CLIENT_AUTH, ()) is None
+    )
+    common = certificate_info.from_certificate(authority.issue("cn", [], common="cs1.test"))
+    assert not validation.certificate_has_name(common, "cs1.test", True)  # the CN is no name
+    assert validation.certificate_error(good, good.not_after + 1, SERVER_AUTH, ()) is FailureReason.EXPIRED
+    assert (
+        validation.certificate_error(good, good.not_before - 1, SERVER_AUTH, ())
+        is FailureReason.NOT_YET_VALID
+    )
+    assert (
+        validation.certificate_error(good, now, SERVER_AUTH, {(good.issuer, good.serial)})
+        is FailureReason.REVOKED
+    )
+    assert validation.certificate_error(good, now, SERVER_AUTH, {(b"another", good.serial)}) is None
+    assert (
+        validation.certificate_error(
+            certificate_info.from_certificate(authority.issue("w", ["a"], rsa_bits=1_024)),
+            now,
+            SERVER_AUTH,
+            (),
+        )
+        is FailureReason.WEAK_KEY
+    )
+    serves = certificate_info.from_certificate(authority.issue("s", ["a"], purposes=(SERVER_AUTH,)))
+    assert validation.certificate_error(serves, now, CLIENT_AUTH, ()) is FailureReason.WRONG_PURPOSE
+    assert (
+        validation.certificate_error(
+            certificate_info.from_certificate(authority.certificate), now, SERVER_AUTH, ()
+        )
+        is FailureReason.WRONG_PURPOSE
     )
-    serves = facts.of(authority.issue("s", ["a"], purposes=(SERVES,)))
-    assert judge.fault(serves, now, DIALS, ()) is Reason.WRONG_PURPOSE
-    assert judge.fault(facts.of(authority.certificate), now, SERVES, ()) is Reason.WRONG_PURPOSE
 
 
 def test_a_set_is_checked_whole_and_every_fault_named(tmp_path: Path) -> None:
-    authority, now = Authority.make(tmp_path, 30.0), time.time()
+    authority, now = CertificateAuthority.create(tmp_path, 30.0), time.time()
     certificate = authority.issue("cs1", ["cs1.test"])
     authority.issue("cs2", ["cs2.test"])
-    other = Authority.make(tmp_path / "other", 30.0)
+    other = CertificateAuthority.create(tmp_path / "other", 30.0)
 
     def faults(name: str = "cs1.test", **changed: Path) -> str:
         given = {"certificate": "cs1.crt", "key": "cs1.key", "trust": "ca.crt", "revoked": "ca.crl"}
-        paths = material.Paths(**{k: changed.get(k, tmp_path / v) for k, v in given.items()})
+        paths = credentials.CredentialPaths(**{k: changed.get(k, tmp_path / v) for k, v in given.items()})
         try:
-            Contexts(material.load(paths, now, name))
-        except material.MaterialError as error:
+            TlsContexts(credentials.load(paths, now, name))
+        except credentials.CredentialsError as error:
             return str(error)
         return ""
 
     assert faults() == ""
     assert "does not match" in faults(key=tmp_path / "cs2.key")
     assert "expected x.test" in faults("x.test")
-    assert Reason.UNKNOWN_ISSUER in faults(trust=other.folder / "ca.crt", revoked=other.folder / "ca.crl")
+    assert FailureReason.UNKNOWN_ISSUER in faults(
+        trust=other.folder / "ca.crt", revoked=other.folder / "ca.crl"
+    )
     assert "no trusted authority" in faults(revoked=other.folder / "ca.crl")
     half = tmp_path / "half.crt"
     half.write_bytes((tmp_path / "cs1.crt").read_bytes()[:200])
@@ -87,8 +109,8 @@
     (tmp_path / "cs1.key").chmod(0o640)
     assert "readable by others (mode 0640)" in faults()
     (tmp_path / "cs1.key").chmod(0o600)
-    authority.revoke([certificate.serial_number])
-    assert Reason.REVOKED in faults()
+    authority.write_revocation_list([certificate.serial_number])
+    assert FailureReason.REVOKED in faults()
 
 
 def test_expiry_is_told_once_a_stage_and_each_hour_on_the_last_day() -> None:
@@ -102,89 +124,94 @@
 
 
 def test_slots_are_bounded_and_a_stalled_peer_yields_its_own_to_a_newcomer() -> None:
-    slots = Handshakes(4, 1)
-    assert all(slots.begin(float(n), n)[0] for n in range(4))
-    assert slots.begin(10.0, 4) == (False, None)
-    slots.progressed(200.0, 0)
-    assert slots.begin(PATIENCE + 2.0, 5) == (True, 1) and len(slots.inbound) == 4
-    slots.end(5)
-    assert slots.begin(PATIENCE + 3.0, 6) == (True, None)
+    slots = HandshakeScheduler(4, 1)
+    assert all(slots.admit(float(n), n)[0] for n in range(4))
+    assert slots.admit(10.0, 4) == (False, None)
+    slots.record_progress(200.0, 0)
+    assert slots.admit(STALLED_AFTER_MS + 2.0, 5) == (True, 1) and len(slots.inbound) == 4
+    slots.release_slot(5)
+    assert slots.admit(STALLED_AFTER_MS + 3.0, 6) == (True, None)
 
 
 def test_steps_take_no_more_than_their_share_of_the_loop() -> None:
-    pace = Handshakes(64, 1)
+    pace = HandshakeScheduler(64, 1)
     for _ in range(200):
-        pace.book(0.0)
-        pace.took(2.0)
-    first = pace.book(0.0)
-    assert pace.book(0.0) - first == pytest.approx(pace.cost / SHARE)
+        pace.schedule_step(0.0)
+        pace.record_cost(2.0)
+    first = pace.schedule_step(0.0)
+    assert pace.schedule_step(0.0) - first == pytest.approx(pace.step_cost_ms / CPU_SHARE)
     rested = first + 10_000.0  # rest earns a small credit, and no more
-    assert [pace.book(rested) == rested for _ in range(3)] == [True, False, False]
-    assert pace.cost == pytest.approx(2.0, rel=0.01)
-    pace.took(10_000.0)  # the process was away: that is no cost of a step
-    assert pace.cost < 8.0
+    assert [pace.schedule_step(rested) == rested for _ in range(3)] == [True, False, False]
+    assert pace.step_cost_ms == pytest.approx(2.0, rel=0.01)
+    pace.record_cost(10_000.0)  # the process was away: that is no cost of a step
+    assert pace.step_cost_ms < 8.0
 
 
 def test_failures_in_a_row_wait_longer_and_not_in_step() -> None:
-    slots = Handshakes(4, 1)
-    waits = [slots.failed(7, 100.0) for _ in range(12)]
+    slots = HandshakeScheduler(4, 1)
+    waits = [slots.record_failure(7, 100.0) for _ in range(12)]
     assert all(
-        0.75 * 100 * 2 ** min(n, DOUBLINGS) <= wait <= 1.25 * 100 * 2 ** min(n, DOUBLINGS)
+        0.75 * 100 * 2 ** min(n, MAX_DOUBLINGS) <= wait <= 1.25 * 100 * 2 ** min(n, MAX_DOUBLINGS)
         for n, wait in enumerate(waits)
     )
     assert len(set(waits)) == 12
-    slots.succeeded(7)
-    assert slots.failed(7, 100.0) < 126
+    slots.record_success(7)
+    assert slots.record_failure(7, 100.0) < 126
 
 
 def test_sessions_are_used_once_and_bounded_in_age_identity_and_number() -> None:
-    sessions = Sessions(1_000.0)
-    sessions.keep(0.0, 2, "ticket", "set-a cs2", 0)
+    sessions = SessionCache(1_000.0)
+    sessions.store(0.0, 2, "ticket", "set-a cs2", 0)
     assert sessions.take(10.0, 2, "set-b cs2") == (None, 0)
-    sessions.keep(0.0, 2, "ticket", "set-a cs2", 0)
+    sessions.store(0.0, 2, "ticket", "set-a cs2", 0)
     assert sessions.take(10.0, 2, "set-a cs2") == ("ticket", 1)
     assert sessions.take(10.0, 2, "set-a cs2") == (None, 0)
-    sessions.keep(0.0, 2, "ticket", "set-a cs2", 0)
+    sessions.store(0.0, 2, "ticket", "set-a cs2", 0)
     assert sessions.take(1_000.0, 2, "set-a cs2") == (None, 0)
-    sessions.keep(0.0, 2, "ticket", "set-a cs2", RESUMES)
+    sessions.store(0.0, 2, "ticket", "set-a cs2", MAX_RESUMPTIONS)
     assert sessions.take(1.0, 2, "set-a cs2") == (None, 0)
-    assert [sessions.rotate(now) for now in (999.0, 1_000.0, 1_500.0, 2_000.0)] == [False, True, False, True]
+    assert [sessions.rotate_if_due(now) for now in (999.0, 1_000.0, 1_500.0, 2_000.0)] == [
+        False,
+        True,
+        False,
+        True,
+    ]
 
 
 def test_sixty_links_move_spread_over_time_and_few_at_once() -> None:
-    renewals = Renewals(1e9, 60_000.0, 3)
-    renewals.newest = "old"
+    renewals = RenewalScheduler(1e9, 60_000.0, 3)
+    renewals.current_digest = "old"
     for peer in range(60):
-        renewals.up(0.0, peer, "old")
-    renewals.replaced(1_000.0, "new")
+        renewals.link_up(0.0, peer, "old")
+    renewals.key_set_replaced(1_000.0, "new")
     now = 1_000.0
     begun: list[float] = []
     under_way: deque[tuple[float, int]] = deque()
     while len(begun) < 60 and now < 70_000.0:
-        now += renewals.look_after(now)
+        now += renewals.next_check_delay(now)
         while under_way and under_way[0][0] <= now:
             peer = under_way.popleft()[1]
-            renewals.over(now, peer, True)
-            renewals.up(now, peer, "new")
-        for peer in renewals.take(now):
+            renewals.move_ended(now, peer, True)
+            renewals.link_up(now, peer, "new")
+        for peer in renewals.take_due(now):
             begun.append(now)
             under_way.append((now + 300.0, peer))
-        assert len(renewals.moving) <= AT_ONCE
+        assert len(renewals.moving) <= MAX_CONCURRENT_MOVES
     assert len(begun) == 60 and begun[-1] <= 61_500.0
     assert max(sum(low <= at < low + 5_000 for at in begun) for low in range(1_000, 60_000, 1_000)) <= 9
 
 
 def test_a_move_that_fails_is_tried_later_and_a_set_replaced_meanwhile_moves_again() -> None:
-    renewals = Renewals(1e9, 100.0, 3)
-    renewals.up(0.0, 2, "a")
-    renewals.replaced(0.0, "b")
-    assert renewals.take(100.0) == [2] and renewals.take(100.0) == []  # never two moves of one link
-    renewals.over(100.0, 2, False)
-    assert renewals.take(200.0) == [] and renewals.take(1_400.0) == [2]
-    renewals.replaced(1_400.0, "c")
-    renewals.over(1_500.0, 2, True)
-    renewals.up(1_500.0, 2, "b")
-    assert renewals.take(1_700.0) == [2]
+    renewals = RenewalScheduler(1e9, 100.0, 3)
+    renewals.link_up(0.0, 2, "a")
+    renewals.key_set_replaced(0.0, "b")
+    assert renewals.take_due(100.0) == [2] and renewals.take_due(100.0) == []  # never two moves of one link
+    renewals.move_ended(100.0, 2, False)
+    assert renewals.take_due(200.0) == [] and renewals.take_due(1_400.0) == [2]
+    renewals.key_set_replaced(1_400.0, "c")
+    renewals.move_ended(1_500.0, 2, True)
+    renewals.link_up(1_500.0, 2, "b")
+    assert renewals.take_due(1_700.0) == [2]
 
 
 class Wire:
@@ -192,7 +219,7 @@
 
     def __init__(self) -> None:
         self.queues: tuple[deque[tuple[str, int]], ...] = (deque(), deque())
-        self.marks: list[list[Told]] = [[], []]
+        self.marks: list[list[HeartbeatCallback]] = [[], []]
         self.open = True
 
 
@@ -206,21 +233,21 @@
         if self.wire.open:
             self.wire.queues[self.side].append((kind, number))
 
-    def carry(self, service: int, sls: int, body: bytes) -> None:
+    def send_data(self, service: int, sls: int, body: bytes) -> None:
         self._put("data", int(body))
 
-    def mark(self, answered: Told) -> None:
+    def send_marker(self, answered: HeartbeatCallback) -> None:
         self.wire.marks[self.side].append(answered)
         self._put("beat")
 
-    def probe(self, told: object) -> None: ...
+    def probe(self, on_result: object) -> None: ...
 
-    def audit(self) -> None: ...
+    def request_audit(self) -> None: ...
 
-    def taken_over(self) -> None:
+    def notify_alternate_active(self) -> None:
         self._put("taken over")
 
-    def leave(self, reason: str) -> None:
+    def shut_down(self, reason: str) -> None:
         self.drop(reason)
 
     def drop(self, reason: str) -> None:
@@ -233,7 +260,7 @@
     breaks = seed % 3 == 0
     old, new = Wire(), Wire()
     lost: list[int] = []
-    timers = Timers()
+    timers = TimerQueue()
     ends = [[End(wire, side) for wire in (old, new)] for side in (0, 1)]
     paths = [
         LinkPath(timers, ends[side][0], lambda reason, side=side: lost.append(side))  # type: ignore[misc]
@@ -246,11 +273,11 @@
     broken_at = draw.randrange(60) if breaks else -1
     for step in range(400):
         for side in (0, 1):
-            if step == moves[side] and new.open and not paths[side].over:
-                paths[side].move(0.0, ends[side][1], dialler=side == 0)
-            if step < 100 and draw.random() < 0.5 and not paths[side].over:
+            if step == moves[side] and new.open and not paths[side].closed:
+                paths[side].start_changeover(0.0, ends[side][1], dialler=side == 0)
+            if step < 100 and draw.random() < 0.5 and not paths[side].closed:
                 sent[side] += 1
-                paths[side].data(5, 0, str(sent[side]).encode())
+                paths[side].send_data(5, 0, str(sent[side]).encode())
         if step == broken_at:
             draw.choice((old, new)).open = False
         for index, wire in enumerate((old, new)):
@@ -259,17 +286,17 @@
                 if queue and draw.random() < 0.4:
                     kind, number = queue.popleft()
                     there = 1 - side
-                    if kind == "data" and not paths[there].over:
+                    if kind == "data" and not paths[there].closed:
                         got[there].append(number)
                     elif kind == "beat":
                         ends[there][index]._put("answer")
                     elif kind == "answer":
                         wire.marks[there].pop(0)(True)
                     elif kind == "taken over":
-                        paths[there].far_side_moved()
+                        paths[there].peer_switched()
                 elif not wire.open and not queue and not seen[1 - side][index]:
                     seen[1 - side][index] = True
-                    paths[1 - side].ended(ends[1 - side][index], "ended")
+                    paths[1 - side].association_ended(ends[1 - side][index], "ended")
     assert all(numbers == list(range(1, len(numbers) + 1)) for numbers in got)
     if lost:
         assert breaks and sorted(lost) == [0, 1]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,13 +10,13 @@
 import pytest
 
 from ospreybridge.core import outcomes
-from ospreybridge.core.association import MOST_ERRORS, Asp, Association
+from ospreybridge.core.association import MOST_ERRORS, AspState, Association
+from ospreybridge.core.exchange_list import Roster, format_info
 from ospreybridge.core.lateness import Lateness
-from ospreybridge.core.roster import Roster, info_text
-from ospreybridge.core.timers import Timers
+from ospreybridge.core.timers import TimerQueue
 from ospreybridge.interface import ListForm, Members, Note, Readiness, Result
-from ospreybridge.net.loop import READ, Loop, Task
-from ospreybridge.settings.server import Peer, circuits
+from ospreybridge.net.loop import READ, EventLoop, Task
+from ospreybridge.settings.server import Peer, parse_cic_ranges
 from ospreybridge.signalling import causes, m3ua
 
 
@@ -26,29 +26,29 @@
 
 def test_the_list_drops_what_is_old_repeated_or_strange() -> None:
     r = roster()
-    first = r.news(100.0, m3ua.DAVA, 2, info_text(5, 0, 0))
-    assert first is not None and first.form is ListForm.DELTA and first.entries[0].cell == 2
-    assert r.news(110.0, m3ua.DAVA, 2, info_text(5, 0, 0)) is None
-    assert r.news(120.0, m3ua.DRST, 2, info_text(4, 0, 0)) is None
-    assert r.news(130.0, m3ua.DAVA, 9, info_text(6, 0, 0)) is None and r.strange == 1
+    first = r.news(100.0, m3ua.DAVA, 2, format_info(5, 0, 0))
+    assert first is not None and first.form is ListForm.DELTA and first.entries[0].exchange == 2
+    assert r.news(110.0, m3ua.DAVA, 2, format_info(5, 0, 0)) is None
+    assert r.news(120.0, m3ua.DRST, 2, format_info(4, 0, 0)) is None
+    assert r.news(130.0, m3ua.DAVA, 9, format_info(6, 0, 0)) is None and r.strange == 1
     assert not r.barred(1_000.0, 2, 250.0)
 
 
 def test_a_start_told_again_is_the_same_start() -> None:
     r = roster()
-    one = r.news(10_000.0, m3ua.DAVA, 2, info_text(5, 1, 400))
-    assert one is not None and one.entries[0].started == 9_600.0
-    again = r.news(12_000.0, m3ua.DAVA, 2, info_text(6, 1, 2_900))
-    assert again is None or again.entries[0].started == 9_600.0
-    other = r.news(13_000.0, m3ua.DAVA, 2, info_text(7, 2, 100))
-    assert other is not None and other.entries[0].started == 12_900.0
+    one = r.news(10_000.0, m3ua.DAVA, 2, format_info(5, 1, 400))
+    assert one is not None and one.entries[0].started_at == 9_600.0
+    again = r.news(12_000.0, m3ua.DAVA, 2, format_info(6, 1, 2_900))
+    assert again is None or again.entries[0].started_at == 9_600.0
+    other = r.news(13_000.0, m3ua.DAVA, 2, format_info(7, 2, 100))
+    assert other is not None and other.entries[0].started_at == 12_900.0
 
 
 def test_a_whole_list_replaces_what_is_not_in_it() -> None:
     r = roster()
-    r.news(0.0, m3ua.DAVA, 3, info_text(1, 0, 0))
-    assert r.news(10.0, m3ua.DAVA, 1, info_text(8, 0, 0, of=2)) is None
-    whole = r.news(11.0, m3ua.DRST, 2, info_text(8, 0, 0, of=2))
+    r.news(0.0, m3ua.DAVA, 3, format_info(1, 0, 0))
+    assert r.news(10.0, m3ua.DAVA, 1, format_info(8, 0, 0, list_size=2)) is None
+    whole = r.news(11.0, m3ua.DRST, 2, format_info(8, 0, 0, list_size=2))
     assert isinstance(whole, Members) and whole.form is ListForm.FULL
     assert {entry.office: entry.readiness for entry in whole.entries} == {
         1: Readiness.READY,
@@ -66,10 +66,10 @@
         (causes.NO_CIRCUIT, 2, True, 0.0, (Result.FULL, Note.NO_CIRCUIT, 0.0)),
         (causes.CONGESTION, 7, False, 300.0, (Result.FULL, Note.PROCESSOR_FULL, 300.0)),
         (causes.CONGESTION, 2, False, 0.0, (Result.FULL, Note.TURNED_BACK, 1.0)),
-        (causes.OUT_OF_ORDER, 7, False, 0.0, (Result.FULL, Note.TURNED_BACK, 0.0)),
-        (causes.OUT_OF_ORDER, 2, True, 0.0, (Result.CONNECT_FAILED, Note.NONE, 0.0)),
-        (causes.BUSY, 2, True, 0.0, (Result.ERROR, Note.LINES_BUSY, 0.0)),
-        (causes.TEMPORARY, 2, True, 0.0, (Result.RESET, Note.NONE, 0.0)),
+        (causes.DESTINATION_OUT_OF_ORDER, 7, False, 0.0, (Result.FULL, Note.TURNED_BACK, 0.0)),
+        (causes.DESTINATION_OUT_OF_ORDER, 2, True, 0.0, (Result.CONNECT_FAILED, Note.NONE, 0.0)),
+        (causes.USER_BUSY, 2, True, 0.0, (Result.ERROR, Note.LINES_BUSY, 0.0)),
+        (causes.TEMPORARY_FAILURE, 2, True, 0.0, (Result.RESET, Note.NONE, 0.0)),
         (99, 2, True, 0.0, (Result.RESET, Note.NONE, 0.0)),
     ],
 )
@@ -80,22 +80,22 @@
 
 
 def test_timers_run_in_order_once_and_not_when_cancelled() -> None:
-    timers, ran = Timers(), []
-    timers.at(20.0, lambda now: ran.append("b"))
-    timers.at(10.0, lambda now: ran.append("a"))
-    timers.at(20.0, lambda now: ran.append("c"))
-    timers.at(15.0, lambda now: ran.append("never")).cancel()
-    assert timers.next() == 10.0
-    timers.run(20.0)
-    timers.run(30.0)
-    assert ran == ["a", "b", "c"] and timers.next() is None
+    timers, ran = TimerQueue(), []
+    timers.schedule(20.0, lambda now: ran.append("b"))
+    timers.schedule(10.0, lambda now: ran.append("a"))
+    timers.schedule(20.0, lambda now: ran.append("c"))
+    timers.schedule(15.0, lambda now: ran.append("never")).cancel()
+    assert timers.next_due() == 10.0
+    timers.run_due(20.0)
+    timers.run_due(30.0)
+    assert ran == ["a", "b", "c"] and timers.next_due() is None
 
 
 def test_circuits_leave_out_slot_0() -> None:
-    assert circuits(["1-3", "31-34"]) == (1, 2, 3, 31, 33, 34)
+    assert parse_cic_ranges(["1-3", "31-34"]) == (1, 2, 3, 31, 33, 34)
     for wrong in ("0-3", "5-4", "x", "4096"):
         with pytest.raises(ValueError, match="FIRST-LAST"):
-            circuits([wrong])
+            parse_cic_ranges([wrong])
 
 
 @dataclass
@@ -104,22 +104,22 @@
 
     events: list[str] = field(default_factory=list)
 
-    def active(self, association: Association) -> None:
+    def association_active(self, association: Association) -> None:
         self.events.append("active")
 
-    def inactive(self, association: Association, reason: str) -> None:
+    def association_inactive(self, association: Association, reason: str) -> None:
         self.events.append("inactive")
 
-    def received(self, association: Association, data: m3ua.Data) -> None:
+    def data_received(self, association: Association, data: m3ua.Data) -> None:
         self.events.append("data")
 
-    def told(self, association: Association, message: m3ua.Message) -> None:
+    def message_received(self, association: Association, message: m3ua.Message) -> None:
         self.events.append(message.name)
 
-    def end(self, association: Association, reason: str) -> None:
+    def close_association(self, association: Association, reason: str) -> None:
         self.events.append("end")
 
-    def stranger(self, association: Association, identifier: int) -> None:
+    def unknown_identifier(self, association: Association, identifier: int) -> None:
         self.events.append(f"stranger {identifier}")
 
     def may_take_over(self, association: Association) -> bool:
@@ -132,7 +132,7 @@
     def __init__(self) -> None:
         self.near, self.far = Told(), Told()
         self.wire: list[tuple[str, bytes]] = []
-        a, b = Peer("a", "exchange", 1, 9), Peer("b", "exchange", 2, 9, dial=("h", 1))
+        a, b = Peer("a", "exchange", 1, 9), Peer("b", "exchange", 2, 9, dial_address=("h", 1))
         self.client = Association(self.near, lambda f: self.wire.append(("far", f)), 1, 2, {}, b)
         self.server = Association(self.far, lambda f: self.wire.append(("near", f)), 2, 2, {1: a})
 
@@ -149,14 +149,14 @@
     pair = Pair()
     pair.client.open()
     assert pair.run() == ["ASPUP", "ASPUP ACK", "NTFY", "ASPAC", "ASPAC ACK", "NTFY"]
-    assert [pair.client.state, pair.server.state] == [Asp.ACTIVE, Asp.ACTIVE]
-    pair.client.data(5, 1, b"\1\0\x10\0")
-    pair.server.data(5, 1, b"\1\0\x10\0")
+    assert [pair.client.state, pair.server.state] == [AspState.ACTIVE, AspState.ACTIVE]
+    pair.client.send_data(5, 1, b"\1\0\x10\0")
+    pair.server.send_data(5, 1, b"\1\0\x10\0")
     beats: list[bool] = []
-    pair.client.beat(beats.append)
+    pair.client.send_heartbeat(beats.append)
     pair.run()
     assert pair.near.events == pair.far.events == ["active", "data"] and beats == [True]
-    pair.client.leave()
+    pair.client.shut_down()
     pair.run()
     assert pair.far.events[-1] == "inactive"
 
@@ -168,34 +168,36 @@
         pair.server.receive(early)
     assert pair.far.events == ["end"]
     errors = [m3ua.decode(frame) for _, frame in pair.wire]
-    assert all(isinstance(e, m3ua.Message) and e.number(m3ua.ERROR_CODE) == m3ua.UNEXPECTED for e in errors)
-    pair.server.receive(m3ua.encode(m3ua.ASPAC, [(m3ua.ROUTING_CONTEXT, m3ua.word(9))]))
-    assert pair.server.state is Asp.DOWN
+    assert all(
+        isinstance(e, m3ua.Message) and e.integer(m3ua.ERROR_CODE) == m3ua.UNEXPECTED_MESSAGE for e in errors
+    )
+    pair.server.receive(m3ua.encode(m3ua.ASPAC, [(m3ua.ROUTING_CONTEXT, m3ua.uint32(9))]))
+    assert pair.server.state is AspState.DOWN
 
 
 def test_a_peer_that_comes_up_anew_loses_its_calls_first() -> None:
     pair = Pair()
     pair.client.open()
     pair.run()
-    pair.server.receive(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.word(1))]))
-    assert pair.far.events == ["active", "inactive"] and pair.server.state is Asp.INACTIVE
+    pair.server.receive(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(1))]))
+    assert pair.far.events == ["active", "inactive"] and pair.server.state is AspState.INACTIVE
     beats: list[bool] = []
-    pair.client.beat(beats.append)
-    pair.client.closed("gone")
+    pair.client.send_heartbeat(beats.append)
+    pair.client.connection_closed("gone")
     assert beats == [False] and pair.near.events == ["active", "inactive"]
 
 
 def test_how_late_the_process_was_is_remembered_and_fades() -> None:
-    timers = Timers()
-    timers.at(100.0, lambda now: None)
-    timers.run(380.0)
-    assert timers.lateness.worst == 280.0
-    timers.at(5_378.0, lambda now: None)
-    timers.run(5_380.0)
-    assert timers.lateness.worst == pytest.approx(140.0, rel=0.01)
-    timers.at(0.0, lambda now: None)  # armed in the past: no lateness
-    timers.run(30_000.0)
-    assert timers.lateness.worst == pytest.approx(140.0, rel=0.01)
+    timers = TimerQueue()
+    timers.schedule(100.0, lambda now: None)
+    timers.run_due(380.0)
+    assert timers.lateness.peak_ms == 280.0
+    timers.schedule(5_378.0, lambda now: None)
+    timers.run_due(5_380.0)
+    assert timers.lateness.peak_ms == pytest.approx(140.0, rel=0.01)
+    timers.schedule(0.0, lambda now: None)  # armed in the past: no lateness
+    timers.run_due(30_000.0)
+    assert timers.lateness.peak_ms == pytest.approx(140.0, rel=0.01)
 
 
 def test_the_margin_follows_lateness_within_its_bounds() -> None:
@@ -214,22 +216,22 @@
     pair.run()
     for _ in range(3 * MOST_ERRORS):
         pair.server.receive(m3ua.encode((9, 9)))
-        pair.client.beat(lambda answered: None)
+        pair.client.send_heartbeat(lambda answered: None)
         pair.run()
-    assert "end" not in pair.far.events and pair.server.state is Asp.ACTIVE
+    assert "end" not in pair.far.events and pair.server.state is AspState.ACTIVE
     pair.server.receive(m3ua.encode(m3ua.ERR) + b"xx")
     assert not pair.wire
 
 
 def test_a_defect_in_a_timer_is_told_and_ends_nothing() -> None:
-    loop, failed, ran = Loop(), [], []
-    loop.failed = lambda name, error: failed.append((name, type(error)))
+    loop, failed, ran = EventLoop(), [], []
+    loop.on_task_error = lambda name, error: failed.append((name, type(error)))
 
     def broken(now: float) -> None:
         raise ZeroDivisionError
 
-    loop.timers.at(loop.now, broken)
-    loop.timers.at(loop.now, lambda now: ran.append(now))
+    loop.timers.schedule(loop.now, broken)
+    loop.timers.schedule(loop.now, lambda now: ran.append(now))
     assert loop.run_until(lambda: bool(ran), 2_000.0) and failed == [("timer", ZeroDivisionError)]
     loop.close()
 
@@ -240,7 +242,7 @@
     class Held:
         pass
 
-    loop = Loop()
+    loop = EventLoop()
     near, far = socket.socketpair()
     dropped: list[weakref.ref[Held]] = []
 
