--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from ospreybridge import interface as i
-from ospreybridge.settings.faults import SettingsError
-from ospreybridge.settings.instance import Pairs, read, read_report
+from ospreybridge.settings.errors import SettingsError
+from ospreybridge.settings.instance import SettingPairs, read_report, read_settings
 from ospreybridge.settings.platform import build, load
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.errors import MessageError
@@ -31,7 +31,7 @@
     st.none() | TEXT,
 )
 RECORDS = st.builds(
-    frames.Record,
+    frames.OfficeRecord,
     st.integers(0, (1 << 32) - 1),
     st.tuples(*[st.integers(0, 255)] * 4).map(lambda octets: ".".join(map(str, octets))),
     st.integers(0, 65_535),
@@ -43,7 +43,7 @@
     st.integers(0, (1 << 53)),
 )
 FRAMES = st.integers(0, 1 << 61).flatmap(
-    lambda number: st.just(frames.Frame(number, frames.NOTHING))
+    lambda number: st.just(frames.Frame(number, frames.NO_CHANGES))
     | st.builds(
         frames.Frame, st.just(number), st.sampled_from((1, 2)), st.lists(RECORDS, max_size=4).map(tuple)
     )
@@ -61,7 +61,7 @@
     splitter = jsonl.Splitter()
     parts = cut(b"".join(map(jsonl.encode, messages)), cuts)
     lines = [line for part in parts for line in splitter.feed(part)]
-    assert [jsonl.decode(line) for line in lines] == messages and splitter.rest == b""
+    assert [jsonl.decode(line) for line in lines] == messages and splitter.buffer == b""
 
 
 @SAME
@@ -77,11 +77,11 @@
 def test_a_line_that_never_ends_is_refused_before_it_fills_the_memory() -> None:
     splitter = jsonl.Splitter()
     for _ in range(100):
-        assert splitter.feed(b"x" * 1_000) == [] and len(splitter.rest) < jsonl.LONGEST
-    assert splitter.broken
+        assert splitter.feed(b"x" * 1_000) == [] and len(splitter.buffer) < jsonl.MAX_LINE_BYTES
+    assert splitter.error
     splitter = jsonl.Splitter()
-    lines = splitter.feed(b"one\n" + b"y" * jsonl.LONGEST + b"\ntwo\n")
-    assert lines == [b"one"] and splitter.broken and splitter.feed(b"three\n") == []
+    lines = splitter.feed(b"one\n" + b"y" * jsonl.MAX_LINE_BYTES + b"\ntwo\n")
+    assert lines == [b"one"] and splitter.error and splitter.feed(b"three\n") == []
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("value", [None, "", "nan", "inf", "-inf", "1e400", "9" * 30, "five"])
 def test_figures_that_are_none_are_refused(value: Any) -> None:
     with pytest.raises(MessageError):
-        jsonl.number(value, "left")
+        jsonl.parse_number(value, "left")
 
 
 @SAME
@@ -122,7 +122,7 @@
 def test_frames_before_nonsense_count_and_nothing_after_it(events: list[frames.Frame], noise: bytes) -> None:
     splitter = frames.Splitter()
     assert splitter.feed(b"".join(map(frames.encode, events)) + b"\xff\xff\xff\xff" + noise) == events
-    assert splitter.broken and splitter.feed(frames.encode(frames.Frame(1, frames.NOTHING))) == []
+    assert splitter.error and splitter.feed(frames.encode(frames.Frame(1, frames.NO_CHANGES))) == []
 
 
 @SAME
@@ -130,7 +130,7 @@
 def test_any_octets_are_frames_or_a_named_error(data: bytes) -> None:
     splitter = frames.Splitter()
     assert all(frame.kind in (0, 1, 2) for frame in splitter.feed(data))
-    assert len(splitter.rest) <= 200 and isinstance(splitter.broken, str)
+    assert len(splitter.buffer) <= 200 and isinstance(splitter.error, str)
 
 
 # -- settings
@@ -138,8 +138,8 @@
 
 def test_one_reading_serves_the_wire_and_the_platform() -> None:
     found = platform()
-    text = "\n".join(f"{key}={value}" for key, value in Pairs.of_object(SETTINGS).values.items())
-    assert read(Pairs.of_text(text)) == (found.settings, found.columns)
+    text = "\n".join(f"{key}={value}" for key, value in SettingPairs.from_json(SETTINGS).values.items())
+    assert read_settings(SettingPairs.from_text(text)) == (found.settings, found.columns)
     assert found.settings.classes[0].name == "voice" and found.settings.classes[0].hold == 2_000.0
     assert found.settings.rules.release == 100.0 and found.settings.layout is i.Layout.MESH
     assert [tenant.name for tenant in found.settings.tenants] == ["acme", "east end"]
@@ -150,7 +150,7 @@
 def faults(tree: Any) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         build("c.json", tree)
-    return caught.value.faults
+    return caught.value.errors
 
 
 def test_every_fault_is_named_with_its_key_and_what_was_expected() -> None:
@@ -174,7 +174,7 @@
     try:
         build("c.json", config(settings={**SETTINGS, key: value}))
     except SettingsError as error:
-        assert any(f"c.json: settings: {named}" in line for line in error.faults)
+        assert any(f"c.json: settings: {named}" in line for line in error.errors)
     else:
         assert not named  # absent limits are the interface's own
 
@@ -199,7 +199,7 @@
         path.write_bytes(content)
     with pytest.raises(SettingsError) as caught:
         load(path)
-    assert len(caught.value.faults) == 1 and str(path) in caught.value.faults[0]
+    assert len(caught.value.errors) == 1 and str(path) in caught.value.errors[0]
 
 
 def test_a_sound_file_is_read(tmp_path: Path) -> None:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -70,7 +70,7 @@
     rig.now += 5_000
     rig.call(ref=3, dest=1)
     rig.controller.marks[(3, 1)] = rig.now + 9_000
-    rig.say(i.Stands(3, 0, 103, 50.0))
+    rig.say(i.Established(3, 0, 103, 50.0))
     assert (3, 1) not in rig.controller.marks
     assert (3, 2) in rig.controller.marks
 
@@ -110,11 +110,11 @@
 def test_a_waiting_call_is_refused_before_its_caller_leaves() -> None:
     rig = Rig()
     rig.groups(c1=0, c2=0, c3=0, c4=0)
-    reminders = only(rig.call(ref=5, dest=1, lasts=3_000), i.Remind)
+    reminders = only(rig.call(ref=5, dest=1, lasts=3_000), i.StartTimer)
     last = next(r for r in reminders if r.label == 5)
-    assert last.after < 3_000
-    assert only(rig.say(i.Timer(5), last.after), i.Refuse) == [i.Refuse(5, 0.0)]
-    assert rig.say(i.Timer(5)) == NOTHING
+    assert last.delay < 3_000
+    assert only(rig.say(i.TimerExpired(5), last.delay), i.Refuse) == [i.Refuse(5, 0.0)]
+    assert rig.say(i.TimerExpired(5)) == NOTHING
 
 
 def test_better_worth_goes_first_and_cut_calls_before_their_equals() -> None:
@@ -122,8 +122,8 @@
     rig = Rig(replace(SETTINGS, classes=(CLASS, dear)))
     rig.groups(c1=0, c2=0, c3=0, c4=0)
     rig.call(ref=1, dest=1)
-    rig.call(ref=2, dest=1, cls=1)
-    rig.call(ref=3, dest=1, cut=True)
+    rig.call(ref=2, dest=1, class_index=1)
+    rig.call(ref=3, dest=1, after_cut=True)
     order = [send.ref for _ in range(3) for send in only(rig.circuits(1, 1), i.Send)]
     assert order == [2, 3, 1]
 
@@ -134,7 +134,7 @@
     for ref in range(10, 30):
         rig.circuits(1, 9)
         rig.call(ref=ref, dest=1, tenant=0)
-        rig.say(i.Stands(ref, 0, 101, 50.0))
+        rig.say(i.Established(ref, 0, 101, 50.0))
     rig.circuits(1, 0)
     rig.groups(c2=0, c3=0, c4=0)
     rig.call(ref=1, dest=1, tenant=0)
@@ -144,12 +144,12 @@
 
 @pytest.mark.parametrize("marked", [False, True])
 def test_a_redial_is_judged_by_its_first_try(marked: bool) -> None:
-    rig = Rig(replace(SETTINGS, marks_retry=marked))
+    rig = Rig(replace(SETTINGS, redials_marked=marked))
     rig.groups(c1=0, c2=0, c3=0, c4=0)
-    rig.call(ref=1, dest=1, number=77)
-    rig.say(i.Timer(1), 2_990.0)
-    rig.call(ref=2, dest=1, number=77, again=marked)
-    rig.call(ref=3, dest=1, number=78)
+    rig.call(ref=1, dest=1, called_number=77)
+    rig.say(i.TimerExpired(1), 2_990.0)
+    rig.call(ref=2, dest=1, called_number=77, redial=marked)
+    rig.call(ref=3, dest=1, called_number=78)
     assert [send.ref for send in only(rig.circuits(1, 1), i.Send)] == [3], "the new call is worth more"
     assert sent_to(rig.circuits(1, 1)) == [], "a late call leaves the reserve alone"
     assert [send.ref for send in only(rig.circuits(1, 4), i.Send)] == [2]
@@ -194,7 +194,7 @@
     rig = Rig()
     for ref in range(1_000, 1_040):
         rig.call(ref=ref, dest=1)
-        rig.say(i.Stands(ref, 0, 101, 150.0))
+        rig.say(i.Established(ref, 0, 101, 150.0))
     ends = rig.call(ref=1, dest=1, lasts=100.0)
     assert sent_to(ends) == [] and only(ends, i.Refuse) == [i.Refuse(1, 0.0)]
     assert sent_to(rig.call(ref=2, dest=1, lasts=400.0)) == [1]
@@ -208,9 +208,13 @@
     rig = Rig(ADVISED)
     rig.groups(c1=0, c2=0, c3=0, c4=0)
     rig.call(ref=1, dest=1, lasts=700.0)
-    assert only(rig.say(i.Timer(1), 690.0), i.Refuse) == [i.Refuse(1, 690.0)], "as long again as it waited"
+    assert only(rig.say(i.TimerExpired(1), 690.0), i.Refuse) == [i.Refuse(1, 690.0)], (
+        "as long again as it waited"
+    )
     rig.call(ref=2, dest=1, lasts=7_000.0)
-    assert only(rig.say(i.Timer(2), 6_990.0), i.Refuse) == [i.Refuse(2, 2_000.0)], "the longest allowed"
+    assert only(rig.say(i.TimerExpired(2), 6_990.0), i.Refuse) == [i.Refuse(2, 2_000.0)], (
+        "the longest allowed"
+    )
     assert only(rig.call(ref=3, dest=1, transit=True), i.Refuse) == [i.Refuse(3, 0.0)], "none in transit"
 
 
@@ -219,15 +223,15 @@
 
 
 def test_attempts_used_up_end_the_call() -> None:
-    rig = Rig(replace(SETTINGS, limits=i.Limits(most_tries=1)))
+    rig = Rig(replace(SETTINGS, limits=i.Limits(max_tries=1)))
     rig.call(dest=1)
     actions = rig.ends(1, 0, 1, i.Result.MOOT, i.Note.NO_CIRCUIT)
     assert only(actions, i.Refuse) == [i.Refuse(1, 0.0)] and sent_to(actions) == []
 
 
 def test_pools_first_choice_then_the_allowed_pool_with_most_agents() -> None:
-    classes = (replace(CLASS, cells=(1, 2, 3)),)
-    rig = Rig(replace(SETTINGS, layout=i.Layout.POOLS, here=-1, classes=classes))
+    classes = (replace(CLASS, allowed_pools=(1, 2, 3)),)
+    rig = Rig(replace(SETTINGS, layout=i.Layout.POOLS, own_exchange=-1, classes=classes))
     rig.groups(c1=1, c2=8, c3=12, c4=20)
     assert sent_to(rig.call(ref=1, dest=1)) == [1]
     assert sent_to(rig.call(ref=2, dest=1)) == [3], "pool 4 lacks the skill"
@@ -254,10 +258,10 @@
     rig.say(i.CallerLeft(1))
     assert rig.say(i.CallerLeft(1)) == NOTHING
     assert rig.say(i.CallerLeft(99)) == NOTHING
-    assert rig.say(i.Timer(1)) == NOTHING
+    assert rig.say(i.TimerExpired(1)) == NOTHING
     assert rig.ends(1, 0, 1, i.Result.CANCELLED) == NOTHING
     assert rig.ends(1, 0, 1, i.Result.TIMEOUT) == NOTHING
-    assert rig.say(i.Stands(99, 0, 101, 1.0)) == NOTHING
+    assert rig.say(i.Established(99, 0, 101, 1.0)) == NOTHING
 
 
 def test_order_is_by_set_up_where_circuits_are_not_short() -> None:
@@ -266,7 +270,7 @@
         rig = Rig(replace(SETTINGS, classes=(CLASS, wide)))
         rig.groups(c1=0, c2=0, c3=0, c4=0)
         rig.call(ref=1, dest=1)
-        rig.call(ref=2, dest=1, cls=1, width=2.0)
+        rig.call(ref=2, dest=1, class_index=1, width=2.0)
         assert only(rig.circuits(1, free), i.Send)[0].ref == first
 
 
@@ -278,7 +282,7 @@
         for send in only(rig.circuits(1, 20) + rig.call(ref=ref, dest=1, lasts=2_500), i.Send):
             sends += 1
             attempt = rig.controller.calls[send.ref].attempts - 1
-            answers = rig.ends(send.ref, attempt, 1, i.Result.TIMEOUT, took=2_000.0)
+            answers = rig.ends(send.ref, attempt, 1, i.Result.TIMEOUT, elapsed=2_000.0)
             assert sent_to(answers) == []
             remarks += only(answers, i.Remark)
         rig.now += 100
@@ -292,7 +296,7 @@
     for ref in range(100, 115):
         rig.circuits(1, 20)
         assert sent_to(rig.call(ref=ref, dest=1)) == [1]
-        healed += only(rig.say(i.Stands(ref, 0, 101, 30.0)), i.Remark)
+        healed += only(rig.say(i.Established(ref, 0, 101, 30.0)), i.Remark)
         rig.now += 1_000
     assert len(healed) == 1 and "again" in healed[0].text
 
@@ -300,7 +304,7 @@
 def test_a_full_processor_is_left_alone_for_a_while() -> None:
     rig = Rig()
     rig.call(ref=1, dest=1)
-    assert sent_to(rig.ends(1, 0, 1, i.Result.FULL, i.Note.PROCESSOR_FULL, took=40.0)) == []
+    assert sent_to(rig.ends(1, 0, 1, i.Result.FULL, i.Note.PROCESSOR_FULL, elapsed=40.0)) == []
     rig.now += 100
     assert sent_to(rig.poll()) == [], "its quick answer does not set the gap"
     rig.now += 1_000
@@ -338,35 +342,35 @@
     rig = Rig(count=60)
     for ref in range(1_000, 1_100):
         rig.call(ref=ref, dest=2 + ref % 59)
-        rig.say(i.Stands(ref, 0, 102 + ref % 59, 20.0), 100.0)
+        rig.say(i.Established(ref, 0, 102 + ref % 59, 20.0), 100.0)
     for ref in (1, 2, 3):
         rig.now += 16_000
         assert sent_to(rig.call(ref=ref, dest=1)) == [1]
-        rig.ends(ref, 0, 1, i.Result.TIMEOUT, took=2_000.0)
+        rig.ends(ref, 0, 1, i.Result.TIMEOUT, elapsed=2_000.0)
         rig.say(i.CallerLeft(ref))
     rig.now += 1_000
     assert sent_to(rig.call(ref=4, dest=1)) == [], "the gap is measured by the usual time between set-ups"
     rig.say(i.CallerLeft(4))
     rig.now += 16_000
     assert sent_to(rig.call(ref=5, dest=1)) == [1]
-    rig.say(i.Stands(5, 0, 101, 100.0))
+    rig.say(i.Established(5, 0, 101, 100.0))
     assert sent_to(rig.call(ref=6, dest=1)) == [1], "one good answer is enough"
 
 
 @pytest.mark.parametrize(("size", "tries"), [(20.0, 2), (0.0, 3)])
 def test_two_tandems_a_call_but_more_where_no_group_leads_to_the_destination(size: float, tries: int) -> None:
     """For a pair without a group a tandem is the ordinary route, not overflow; attempts still bound it."""
-    rig = Rig(replace(SETTINGS, limits=replace(SETTINGS.limits, most_tries=4)), count=9)
+    rig = Rig(replace(SETTINGS, limits=replace(SETTINGS.limits, max_tries=4)), count=9)
     rig.circuits(1, 0.0, size)
     sends = len(only(rig.call(dest=1), i.Send))
     for attempt in range(4):
         sent = rig.controller.calls[1].sent_to if 1 in rig.controller.calls else None
         if sent is None:
-            rig.say(i.Timer(POLL_LABEL), 900.0)
+            rig.say(i.TimerExpired(POLL_LABEL), 900.0)
             continue
         answers = rig.ends(1, attempt, sent.cell, i.Result.FULL, i.Note.TURNED_BACK)
         if tries == 3 and not sent_to(answers):
-            answers = rig.say(i.Timer(POLL_LABEL), 800.0)
+            answers = rig.say(i.TimerExpired(POLL_LABEL), 800.0)
         sends += len(only(answers, i.Send))
     assert sends == tries
 
@@ -402,10 +406,10 @@
             sends += 1
             cell = send.office - 100
             if answer is None:
-                rig.ends(send.ref, 0, cell, i.Result.TIMEOUT, took=2_000.0)
+                rig.ends(send.ref, 0, cell, i.Result.TIMEOUT, elapsed=2_000.0)
                 rig.say(i.CallerLeft(send.ref))
             else:
-                rig.say(i.Stands(send.ref, 0, cell, answer))
+                rig.say(i.Established(send.ref, 0, cell, answer))
         rig.say(i.CallerLeft(ref), 100.0)
     return sends
 
@@ -429,11 +433,11 @@
 
 def test_the_advised_tandem_goes_first_only_after_a_turn_back() -> None:
     """The tandem with the emptiest first leg often has no way on, and nobody here sees it."""
-    rig = Rig(replace(SETTINGS, advice=True))
+    rig = Rig(replace(SETTINGS, route_advice=True))
     rig.groups(c1=0, c2=9, c3=15, c4=12)
     assert sent_to(rig.call(ref=1, dest=1, via=2)) == [3]
     assert sent_to(rig.ends(1, 0, 3, i.Result.FULL, i.Note.TURNED_BACK)) == [2]
-    rig.say(i.Stands(1, 1, 102, 30.0))
+    rig.say(i.Established(1, 1, 102, 30.0))
     assert sent_to(rig.call(ref=2, dest=1, via=2)) == [4], "one stood: the ordinary choice again"
 
 
@@ -442,20 +446,20 @@
 
 def test_full_groups_are_told_to_the_peers_and_mark_the_tandem_there() -> None:
     """With dozens of tandems a call found them full one by one; the one that is full knows it."""
-    teller, rig = Rig(replace(TALKING, here=3)), Rig(TALKING)
+    teller, rig = Rig(replace(TALKING, own_exchange=3)), Rig(TALKING)
     for cell, free in ((1, 0.0), (2, 9.0), (0, 9.0), (4, 1.0)):
         teller.circuits(cell, free)
-    told = teller.say(i.Timer(POLL_LABEL + 2))
-    news = only(told, i.Tell)[0]
-    assert news.peer is None and only(told, i.Remind), "and again later"
+    told = teller.say(i.TimerExpired(POLL_LABEL + 2))
+    news = only(told, i.NotifyPeers)[0]
+    assert news.peer is None and only(told, i.StartTimer), "and again later"
     rig.groups(c1=0, c2=9, c3=15, c4=12)
-    rig.say(i.Peer(3, news.body))
+    rig.say(i.PeerMessage(3, news.body))
     assert sent_to(rig.call(ref=1, dest=1)) == [4]
     rig.circuits(2, 0)
     assert sent_to(rig.call(ref=2, dest=2)) == [3], "there it can go on"
     teller.circuits(1, 9.0)
     rig.now += 8_000.0
-    rig.say(i.Peer(3, only(teller.say(i.Timer(POLL_LABEL + 2)), i.Tell)[0].body))
+    rig.say(i.PeerMessage(3, only(teller.say(i.TimerExpired(POLL_LABEL + 2)), i.NotifyPeers)[0].body))
     assert sent_to(rig.call(ref=3, dest=1)) == [3], "room again"
 
 
@@ -463,7 +467,7 @@
 def test_garbled_messages_harm_nothing(body: bytes) -> None:
     rig = Rig(TALKING)
     rig.groups(c1=0, c2=9, c3=15, c4=12)
-    assert rig.say(i.Peer(9, body)) == NOTHING
+    assert rig.say(i.PeerMessage(9, body)) == NOTHING
     assert sent_to(rig.call(dest=1)) == [3]
 
 
@@ -471,7 +475,7 @@
     entries = (i.Entry(101, 1), i.Entry(102, 2))
     for world, asked in ((SETTINGS, False), (TALKING, True)):
         first = Controller(world, 1).handle(0.0, i.Members(i.ListForm.FULL, 1, entries))
-        assert bool(only(first, i.Remind)) == asked
+        assert bool(only(first, i.StartTimer)) == asked
 
 
 def test_a_slow_own_processor_is_not_blamed_on_the_others() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,7 @@
 def test_time_out_leaves_time_for_the_last_answer() -> None:
     rig = Rig()
     send = only(rig.call(dest=1, lasts=3_000), i.Send)[0]
-    assert send.max_wait < 3_000
+    assert send.timeout < 3_000
     late = rig.ends(1, 0, 1, i.Result.TIMEOUT)
     assert only(late, i.Send) == []
 
@@ -67,24 +67,24 @@
         rig = Rig(count=count, seed=seed)
         for ref in range(1_000, 1_060):
             rig.call(ref=ref, dest=2 + ref % (count - 1))
-            rig.say(i.Stands(ref, 0, 102 + ref % (count - 1), 20.0), 100.0)
-        rig.say(i.Members(i.ListForm.DELTA, 2, (i.Entry(101, 1, started=rig.now),)))
+            rig.say(i.Established(ref, 0, 102 + ref % (count - 1), 20.0), 100.0)
+        rig.say(i.Members(i.ListForm.DELTA, 2, (i.Entry(101, 1, started_at=rig.now),)))
         begun = rig.now
         for ref in range(1, 30):
             rig.call(ref=ref, dest=1)
         while rig.now < begun + RULES.overload_for:
             for send in only(rig.poll(), i.Send):
                 sends += 1
-                rig.say(i.Stands(send.ref, 0, 101, 20.0))
+                rig.say(i.Established(send.ref, 0, 101, 20.0))
             rig.now += 20.0
-        warm = rig.say(i.Members(i.ListForm.DELTA, 3, (i.Entry(101, 1, started=rig.now - 20_000),)))
+        warm = rig.say(i.Members(i.ListForm.DELTA, 3, (i.Entry(101, 1, started_at=rig.now - 20_000),)))
         assert only(warm, i.Send), "and it is open once it is warm"
     usual = 10.0 * RULES.overload_for / 1_000.0  # set-ups to one warm exchange, from all
     assert 0 < sends <= RULES.overload_factor * RULES.cold_share * usual
 
 
 GRACE = RULES.grace_to_answer
-GUARDED = replace(CLASS, semantics=i.Semantics.GUARDED, group=i.Group.CELL, window=4_000.0)
+GUARDED = replace(CLASS, semantics=i.Semantics.GUARDED, retry_scope=i.RetryScope.CELL, retry_window=4_000.0)
 
 
 @pytest.mark.parametrize(
@@ -92,8 +92,8 @@
     [
         (replace(CLASS, semantics=i.Semantics.SINGLE_SHOT), []),
         (GUARDED, [1]),
-        (replace(GUARDED, group=i.Group.ALL), [1]),
-        (replace(GUARDED, window=200.0), []),
+        (replace(GUARDED, retry_scope=i.RetryScope.ALL), [1]),
+        (replace(GUARDED, retry_window=200.0), []),
     ],
 )
 def test_effects_bind_after_a_doubtful_end(kind: i.CallClass, again: list[int]) -> None:
@@ -113,7 +113,7 @@
     rig.now += 1_000
     assert sent_to(rig.circuits(2, 20)) == []
     assert only(rig.poll(), i.Fail) == []
-    rig.now += GUARDED.window
+    rig.now += GUARDED.retry_window
     assert only(rig.poll(), i.Fail) == [i.Fail(1)], "its window is over; may have run: failed, not refused"
 
 
@@ -121,10 +121,12 @@
     subscribed = replace(SETTINGS, discovery=i.Discovery.SUBSCRIBE)
     rig = Rig.__new__(Rig)
     rig.now, rig.controller = 0.0, Controller(subscribed, 1)
-    assert only(rig.say(i.Members(i.ListForm.CACHED, 1, (i.Entry(101, 1),))), i.Follow) == [i.Follow(True)]
-    wait = only(rig.say(i.Members(i.ListForm.FAILED)), i.Remind)[0]
-    assert wait.after < RULES.ask_within
-    assert only(rig.say(i.Timer(wait.label), wait.after), i.Follow) == [i.Follow(True)]
+    assert only(rig.say(i.Members(i.ListForm.CACHED, 1, (i.Entry(101, 1),))), i.Subscribe) == [
+        i.Subscribe(True)
+    ]
+    wait = only(rig.say(i.Members(i.ListForm.FAILED)), i.StartTimer)[0]
+    assert wait.delay < RULES.ask_within
+    assert only(rig.say(i.TimerExpired(wait.label), wait.delay), i.Subscribe) == [i.Subscribe(True)]
 
 
 @dataclass
@@ -155,7 +157,7 @@
             while self.timers and min(self.timers)[0] <= until:
                 self.timers.remove(due := min(self.timers))
                 self.now = max(self.now, due[0])
-                self.take(controller.handle(self.now, i.Timer(due[1])))
+                self.take(controller.handle(self.now, i.TimerExpired(due[1])))
                 self.time_outs(controller)
             self.now = until
             self.time_outs(controller)
@@ -214,7 +216,7 @@
             self.standing.append(key)
             self.owed.pop(ref, None)
             self.over.add(ref)
-            return i.Stands(ref, attempt, self.out[key], self.plan.choice([50.0, 1_500.0]))
+            return i.Established(ref, attempt, self.out[key], self.plan.choice([50.0, 1_500.0]))
         office = self.out.pop(key)
         stood = key in self.standing
         result = (
@@ -248,15 +250,15 @@
                 assert all(key[0] != action.ref for key in self.out), "rule 1: ended with an attempt out"
                 request = self.owed.pop(action.ref)
                 assert self.now <= request.expires + GRACE
-                kind = self.world.classes[request.cls]
+                kind = self.world.classes[request.class_index]
                 if isinstance(action, i.Refuse) and action.ref in self.doubt:
                     assert kind.semantics is i.Semantics.FREE or (
-                        kind.semantics is i.Semantics.GUARDED and kind.group is i.Group.ALL
+                        kind.semantics is i.Semantics.GUARDED and kind.retry_scope is i.RetryScope.ALL
                     )
                 self.over.add(action.ref)
-            elif isinstance(action, i.Remind):
-                assert action.after > 0
-                self.timers.append((self.now + action.after, action.label))
+            elif isinstance(action, i.StartTimer):
+                assert action.delay > 0
+                self.timers.append((self.now + action.delay, action.label))
 
     def send(self, action: i.Send) -> None:
         ref = action.ref
@@ -265,24 +267,26 @@
         assert self.now - self.told.get(action.office, self.now) <= self.world.rules.drain_grace, "rule 3"
         assert self.now >= self.free_at.get(ref, 0.0), "rule 5: before the release"
         request = self.owed[ref]
-        assert self.now + action.max_wait <= request.expires, "rule 1: a time-out beyond the caller's time"
-        assert action.office != 100 + self.world.here
+        assert self.now + action.timeout <= request.expires, "rule 1: a time-out beyond the caller's time"
+        assert action.office != 100 + self.world.own_exchange
         if request.transit:
             assert action.office == 100 + request.dest
         if ref in self.doubt:
-            assert self.world.classes[request.cls].semantics is not i.Semantics.SINGLE_SHOT
+            assert self.world.classes[request.class_index].semantics is not i.Semantics.SINGLE_SHOT
         attempt = self.tries.get(ref, 0)
-        assert attempt < self.world.limits.most_tries
+        assert attempt < self.world.limits.max_tries
         self.tries[ref] = attempt + 1
         self.out[(ref, attempt)] = action.office
-        self.limits[(ref, attempt)] = self.now + action.max_wait
-        self.timers.append((self.now + action.max_wait, 1 << 50))
+        self.limits[(ref, attempt)] = self.now + action.timeout
+        self.timers.append((self.now + action.timeout, 1 << 50))
 
 
 WORLDS = [
     SETTINGS,
     replace(SETTINGS, classes=(CLASS, replace(CLASS, semantics=i.Semantics.SINGLE_SHOT), GUARDED)),
-    replace(SETTINGS, layout=i.Layout.POOLS, here=-1, classes=(replace(CLASS, cells=(0, 1, 2)),)),
+    replace(
+        SETTINGS, layout=i.Layout.POOLS, own_exchange=-1, classes=(replace(CLASS, allowed_pools=(0, 1, 2)),)
+    ),
     replace(SETTINGS, discovery=i.Discovery.SUBSCRIBE, tenants=(i.Tenant(5.0, 0.5), i.Tenant(5.0, 0.5))),
 ]
 
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ospreybridge.core.circuits import State
+from ospreybridge.core.circuits import CircuitState
 from ospreybridge.lab.harness import ACM, CALLERS, Harness, iam, rel, server
 from ospreybridge.signalling import causes, isup, m3ua
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 FAR = (2, 3, 4, 5)
 RELEASE = 200.0
@@ -46,7 +46,7 @@
             if doubtful:
                 self.doubt[calling] = self.h.now
 
-    def seen(self, code: int, message: Isup) -> None:
+    def seen(self, code: int, message: IsupMessage) -> None:
         now = self.h.now
         self.kinds[message.name] += 1
         if code == CALLERS:
@@ -56,9 +56,9 @@
         if code not in FAR:  # the own office, for the calls that the far ends make
             answer = {isup.IAM: isup.ACM, isup.REL: isup.RLC}.get(message.type)
             if answer is not None:
-                self.later(code, Isup(message.cic, answer, ACM if answer == isup.ACM else {}))
+                self.later(code, IsupMessage(message.cic, answer, ACM if answer == isup.ACM else {}))
         elif message.type == isup.IAM:
-            calling = isup.calling_number(message.parameters[isup.CALLING])
+            calling = isup.decode_calling_number(message.parameters[isup.CALLING_NUMBER])
             if self.attempts[calling]:
                 self.broken.append(f"{calling}: two attempts out at {now:.0f}")
             if now < self.doubt.get(calling, -1e9) + RELEASE:
@@ -67,27 +67,29 @@
                 self.broken.append(f"{calling}: an attempt without a pending call")
             self.out[key] = calling
             self.attempts[calling] += 1
-            self.h.timers.at(now + self.random.expovariate(1 / 40), self.react, code, message.cic, calling)
+            self.h.timers.schedule(
+                now + self.random.expovariate(1 / 40), self.react, code, message.cic, calling
+            )
         elif message.type == isup.REL:
             self.ends(*key, doubtful=self.out.get(key) is not None)
             if self.random.random() < 0.97:
-                self.later(code, Isup(message.cic, isup.RLC))
+                self.later(code, IsupMessage(message.cic, isup.RLC))
         elif message.type in (isup.RSC, isup.GRS):
             self.ends(*key, doubtful=True)
             if message.type == isup.RSC:
-                self.later(code, Isup(message.cic, isup.RLC))
+                self.later(code, IsupMessage(message.cic, isup.RLC))
             else:
-                octets = isup.range_octets(message.parameters[isup.RANGE_STATUS][0] + 1, [False] * 20)
-                self.later(code, Isup(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
+                octets = isup.encode_range_status(message.parameters[isup.RANGE_STATUS][0] + 1, [False] * 20)
+                self.later(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
 
-    def later(self, code: int, message: Isup) -> None:
+    def later(self, code: int, message: IsupMessage) -> None:
         def give(now: float) -> None:
             if code in self.h.core.links:
                 self.h.give(code, message)
 
-        self.h.timers.at(self.h.now + self.random.expovariate(1 / 15), give)
+        self.h.timers.schedule(self.h.now + self.random.expovariate(1 / 15), give)
 
-    def to_caller(self, now: float, message: Isup) -> None:
+    def to_caller(self, now: float, message: IsupMessage) -> None:
         state = self.caller.get(message.cic)
         if message.type in (isup.ACM, isup.CON):
             if state != "pending":
@@ -100,7 +102,7 @@
                 self.caller[message.cic] = "standing"
                 self.finals["stands"] += 1
                 hold = self.random.expovariate(1 / 300)
-                self.h.timers.at(now + hold, self.hang_up, message.cic, self.number[message.cic])
+                self.h.timers.schedule(now + hold, self.hang_up, message.cic, self.number[message.cic])
         elif message.type == isup.REL:
             if state is None:
                 self.broken.append(f"circuit {message.cic}: REL without a call")
@@ -109,7 +111,7 @@
                 if now > self.due[message.cic] + 20:
                     self.broken.append(f"circuit {message.cic}: refused late")
             self.caller.pop(message.cic, None)
-            self.h.give(CALLERS, Isup(message.cic, isup.RLC))
+            self.h.give(CALLERS, IsupMessage(message.cic, isup.RLC))
 
     # -- the far ends and the callers
 
@@ -117,14 +119,14 @@
         if self.out.get((code, cic)) != calling:
             if self.random.random() < 0.5 and code in self.h.core.links:
                 circuit = self.h.core.groups[code].circuits[cic]
-                if circuit.state is State.RELEASING:
-                    self.h.give(code, Isup(cic, isup.ACM, ACM))  # an answer after the end
+                if circuit.state is CircuitState.RELEASING:
+                    self.h.give(code, IsupMessage(cic, isup.ACM, ACM))  # an answer after the end
             return
         what = self.random.random()
         if what < 0.70:
             self.ends(code, cic)
-            self.h.give(code, Isup(cic, isup.ACM, ACM))
-            self.h.give(code, Isup(cic, isup.ANM))
+            self.h.give(code, IsupMessage(cic, isup.ACM, ACM))
+            self.h.give(code, IsupMessage(cic, isup.ANM))
         elif what < 0.90:
             cause = self.random.choice([34, 42, 27, 17, 41, 102, 16, 3])
             doubtful = cause in (41, 102)
@@ -132,7 +134,7 @@
             self.h.give(code, rel(cic, cause, **({"retry": 300} if cause == 42 else {})))
         elif what < 0.94:
             self.ends(code, cic, doubtful=True)
-            self.h.give(code, Isup(cic, isup.RSC))
+            self.h.give(code, IsupMessage(cic, isup.RSC))
         elif what < 0.96:
             group = self.h.core.groups[code]
             if not group.controls(cic):
@@ -144,13 +146,13 @@
         if self.caller.get(cic) is not None and self.number.get(cic) == calling:
             if self.caller.pop(cic) == "pending":
                 self.finals["caller left"] += 1
-            self.h.give(CALLERS, rel(cic, causes.NORMAL))
+            self.h.give(CALLERS, rel(cic, causes.NORMAL_CLEARING))
 
     def drop(self, code: int, back_after: float) -> None:
         for key in [key for key in self.out if key[0] == code]:
             self.ends(*key, doubtful=True)
         self.h.core.link_down(self.h.now, code, "dropped")
-        self.h.timers.at(
+        self.h.timers.schedule(
             self.h.now + back_after, lambda now: self.h.core.link_up(now, code, self.h.wires[code])
         )
 
@@ -163,14 +165,14 @@
             serial += 1
             if (
                 self.caller.get(cic) is not None
-                or h.core.groups[CALLERS].circuits[cic].state is not State.IDLE
+                or h.core.groups[CALLERS].circuits[cic].state is not CircuitState.IDLE
             ):
                 continue
             self.caller[cic], self.number[cic] = "pending", f"50{serial:07d}"
             patience = self.random.uniform(300, 3_300)
             self.due[cic] = h.now + 3_300
             if self.random.random() < 0.15:
-                h.timers.at(h.now + patience, self.hang_up, cic, self.number[cic])
+                h.timers.schedule(h.now + patience, self.hang_up, cic, self.number[cic])
             h.give(CALLERS, iam(cic, f"3700{self.random.choice(FAR)}0001", self.number[cic], left=3_300))
             if self.random.random() < 0.002:
                 code = self.random.choice(FAR)
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -11,28 +11,40 @@
 
 from ospreybridge.signalling import isup, m3ua, sccp
 from ospreybridge.signalling.errors import FrameError, LocalError, MessageError
-from ospreybridge.signalling.isup import Isup
+from ospreybridge.signalling.isup import IsupMessage
 
 SAMPLES = {
-    isup.NATURE: b"\0", isup.FORWARD: isup.FORWARD_PLAIN, isup.CATEGORY: b"\x0a", isup.REQUIREMENT: b"\0",
-    isup.CALLED: isup.called("3725551"), isup.SUBSEQUENT: b"\0\x21", isup.BACKWARD: isup.SUBSCRIBER_FREE,
-    isup.CAUSE: isup.cause_indicators(34, 3), isup.RANGE_STATUS: isup.range_octets(9, [True] * 9),
-    isup.SUPERVISION: b"\0", isup.EVENT: isup.ALERTING, isup.CONTINUITY: b"\1", isup.SUSPEND: b"\0",
-    isup.CIRCUIT_STATE: b"\0" * 9, isup.USER_TO_USER: isup.user_words(left=2_000),
-}  # fmt: skip
+    isup.NATURE_OF_CONNECTION: b"\0",
+    isup.FORWARD_INDICATORS: isup.DEFAULT_FORWARD_INDICATORS,
+    isup.CALLING_CATEGORY: b"\x0a",
+    isup.MEDIUM_REQUIREMENT: b"\0",
+    isup.CALLED_NUMBER: isup.encode_called_number("3725551"),
+    isup.SUBSEQUENT_NUMBER: b"\0\x21",
+    isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE,
+    isup.CAUSE_INDICATORS: isup.encode_cause(34, 3),
+    isup.RANGE_STATUS: isup.encode_range_status(9, [True] * 9),
+    isup.GROUP_SUPERVISION: b"\0",
+    isup.EVENT_INFORMATION: isup.EVENT_ALERTING,
+    isup.CONTINUITY_INDICATORS: b"\1",
+    isup.SUSPEND_RESUME_INDICATORS: b"\0",
+    isup.CIRCUIT_STATE: b"\0" * 9,
+    isup.USER_TO_USER: isup.encode_user_words(left=2_000),
+}
 OPTIONS = {
-    isup.CALLING: isup.calling("37255512"), isup.HOP_COUNTER: b"\2",
-    isup.CIRCUIT_MAP: isup.circuit_map((33, 40)),
-    isup.CONGESTION_LEVEL: b"\1", isup.POINT_CODE: isup.point_code_octets(4_097),
-}  # fmt: skip
+    isup.CALLING_NUMBER: isup.encode_calling_number("37255512"),
+    isup.HOP_COUNTER: b"\2",
+    isup.CIRCUIT_ASSIGNMENT_MAP: isup.encode_circuit_map((33, 40)),
+    isup.CONGESTION_LEVEL: b"\1",
+    isup.SIGNALLING_POINT_CODE: isup.encode_point_code(4_097),
+}
 
 
-def sample(kind: int) -> Isup:
+def sample(kind: int) -> IsupMessage:
     fixed, variable, options = isup.LAYOUT[kind]
     given = {code: SAMPLES[code] for code in (*(code for code, _ in fixed), *variable)}
     if kind in (isup.GRS, isup.CQM):
-        given[isup.RANGE_STATUS] = isup.range_octets(9)
-    return Isup(2_047, kind, given | (OPTIONS if options else {}))
+        given[isup.RANGE_STATUS] = isup.encode_range_status(9)
+    return IsupMessage(2_047, kind, given | (OPTIONS if options else {}))
 
 
 @pytest.mark.parametrize("kind", sorted(isup.LAYOUT))
@@ -46,23 +58,25 @@
 
 
 M3UA_FRAMES = [
-    m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.word(7))]),
-    m3ua.encode(m3ua.ASPUP_ACK, [(m3ua.ASP_ID, m3ua.word(7))]),
+    m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(7))]),
+    m3ua.encode(m3ua.ASPUP_ACK, [(m3ua.ASP_ID, m3ua.uint32(7))]),
     m3ua.encode(m3ua.ASPDN),
     m3ua.encode(m3ua.ASPDN_ACK),
-    m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT, b"\0\0\0\1")]),
-    m3ua.encode(m3ua.BEAT_ACK, [(m3ua.HEARTBEAT, b"abc")]),
-    m3ua.encode(m3ua.ASPAC, [(m3ua.TRAFFIC_MODE, m3ua.word(2)), (m3ua.ROUTING_CONTEXT, m3ua.word(9))]),
-    m3ua.encode(m3ua.ASPAC_ACK, [(m3ua.TRAFFIC_MODE, m3ua.word(2)), (m3ua.ROUTING_CONTEXT, m3ua.word(9))]),
-    m3ua.encode(m3ua.ASPIA, [(m3ua.ROUTING_CONTEXT, m3ua.word(9))]),
-    m3ua.encode(m3ua.ASPIA_ACK, [(m3ua.ROUTING_CONTEXT, m3ua.word(9))]),
-    m3ua.encode(m3ua.NTFY, [(m3ua.STATUS, m3ua.word(1 << 16 | m3ua.AS_ACTIVE))]),
-    m3ua.error(m3ua.INVALID_CONTEXT, b"\1\0\1\1", 9),
-    m3ua.ssnm(m3ua.DUNA, 9, 0, 101, "v=3 start=0 age=0"),
-    m3ua.ssnm(m3ua.DAVA, 9, 0, 101),
-    m3ua.ssnm(m3ua.DAUD, 9, 14, 0),
-    m3ua.ssnm(m3ua.DRST, 9, 0, 101),
-    m3ua.ssnm(m3ua.SCON, 9, 0, 101),
+    m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT_DATA, b"\0\0\0\1")]),
+    m3ua.encode(m3ua.BEAT_ACK, [(m3ua.HEARTBEAT_DATA, b"abc")]),
+    m3ua.encode(m3ua.ASPAC, [(m3ua.TRAFFIC_MODE, m3ua.uint32(2)), (m3ua.ROUTING_CONTEXT, m3ua.uint32(9))]),
+    m3ua.encode(
+        m3ua.ASPAC_ACK, [(m3ua.TRAFFIC_MODE, m3ua.uint32(2)), (m3ua.ROUTING_CONTEXT, m3ua.uint32(9))]
+    ),
+    m3ua.encode(m3ua.ASPIA, [(m3ua.ROUTING_CONTEXT, m3ua.uint32(9))]),
+    m3ua.encode(m3ua.ASPIA_ACK, [(m3ua.ROUTING_CONTEXT, m3ua.uint32(9))]),
+    m3ua.encode(m3ua.NTFY, [(m3ua.STATUS, m3ua.uint32(1 << 16 | m3ua.AS_ACTIVE))]),
+    m3ua.encode_error(m3ua.INVALID_ROUTING_CONTEXT, b"\1\0\1\1", 9),
+    m3ua.encode_ssnm(m3ua.DUNA, 9, 0, 101, "v=3 start=0 age=0"),
+    m3ua.encode_ssnm(m3ua.DAVA, 9, 0, 101),
+    m3ua.encode_ssnm(m3ua.DAUD, 9, 14, 0),
+    m3ua.encode_ssnm(m3ua.DRST, 9, 0, 101),
+    m3ua.encode_ssnm(m3ua.SCON, 9, 0, 101),
     m3ua.encode_data(m3ua.Data(1, 2, 5, 2, 0, 3, b"\1\2\3\4\5", 9)),
 ]
 
@@ -81,20 +95,20 @@
 
 
 def test_an_independent_decoder_reads_unitdata() -> None:
-    octets = sccp.encode(sccp.PEERS, b"\1\2news")
+    octets = sccp.encode(sccp.PEER_SUBSYSTEM, b"\1\2news")
     theirs, wrong = parse_SCCP(octets)
     assert wrong == 0 and theirs.to_bytes() == octets
-    assert sccp.decode(octets) == (sccp.PEERS, b"\1\2news")
+    assert sccp.decode(octets) == (sccp.PEER_SUBSYSTEM, b"\1\2news")
 
 
 @pytest.mark.parametrize("digits", ["3", "37", "372555", "3725551", "123456789012345"])
 def test_numbers_come_back(digits: str) -> None:
-    assert isup.called_number(isup.called(digits)) == digits
-    assert isup.calling_number(isup.calling(digits)) == digits
+    assert isup.decode_called_number(isup.encode_called_number(digits)) == digits
+    assert isup.decode_calling_number(isup.encode_calling_number(digits)) == digits
 
 
 def test_a_circuit_map_names_the_slots_of_one_multiplex() -> None:
-    assert isup.mapped_circuits(64 + 3, isup.circuit_map((67, 70))) == (67, 70)
+    assert isup.decode_circuit_map(64 + 3, isup.encode_circuit_map((67, 70))) == (67, 70)
 
 
 @settings(max_examples=400, deadline=None)
@@ -120,9 +134,9 @@
         assert str(error)
         return
     for code, read in (
-        (isup.CALLED, isup.called_number),
-        (isup.CAUSE, isup.cause),
-        (isup.RANGE_STATUS, isup.range_status),
+        (isup.CALLED_NUMBER, isup.decode_called_number),
+        (isup.CAUSE_INDICATORS, isup.decode_cause),
+        (isup.RANGE_STATUS, isup.decode_range_status),
     ):
         if code in message.parameters:
             try:
@@ -150,8 +164,8 @@
 
 def test_own_messages_are_checked_before_they_leave() -> None:
     with pytest.raises(LocalError):
-        isup.encode(Isup(1, isup.IAM, {}))
+        isup.encode(IsupMessage(1, isup.IAM, {}))
     with pytest.raises(LocalError):
-        isup.encode(Isup(4_096, isup.RLC))
+        isup.encode(IsupMessage(4_096, isup.RLC))
     with pytest.raises(LocalError):
-        sccp.encode(sccp.PEERS, b"x" * 255)
+        sccp.encode(sccp.PEER_SUBSYSTEM, b"x" * 255)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -20,10 +20,10 @@
     with fleet(tmp_path) as f:
         for serial in range(12):
             f.call(1 + serial % 3, 1 + (serial + 1) % 3, serial)
-        f.until(lambda: answered(f.tally) == 12)
-        f.hang_up()
-        f.until(f.idle)
-        assert sum(core.finals["stands"] for core in f.cores.values()) == 24  # at both ends of each
+        f.run_until(lambda: answered(f.tally) == 12)
+        f.hang_up_all()
+        f.run_until(f.all_circuits_free)
+        assert sum(core.finals["stands"] for core in f.call_servers.values()) == 24  # at both ends of each
         assert not any(end.faults for end in [*f.offices.values(), *f.callers.values()])
 
 
@@ -31,42 +31,42 @@
     with fleet(tmp_path, group=4) as f:
         for serial in range(4):
             f.call(1, 2, serial)
-            f.until(lambda n=serial: answered(f.tally) == n + 1)  # type: ignore[misc]
+            f.run_until(lambda n=serial: answered(f.tally) == n + 1)  # type: ignore[misc]
         f.call(1, 2, 4)
-        f.until(lambda: answered(f.tally) == 5)
-        assert f.cores[3].finals["stands"] == 1 and f.cores[1].groups[3].free == 3
-        f.hang_up()
-        f.until(f.idle)
+        f.run_until(lambda: answered(f.tally) == 5)
+        assert f.call_servers[3].finals["stands"] == 1 and f.call_servers[1].groups[3].free == 3
+        f.hang_up_all()
+        f.run_until(f.all_circuits_free)
 
 
 def test_an_association_drops_with_calls_pending_and_returns(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         f.call(1, 2, 0)
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
         f.offices[2].hung = True
         f.call(1, 2, 1)
-        f.until(lambda: f.cores[2].finals["stands"] == 1 and len(f.cores[2].calls) == 2)
-        f.fronts[1].by_peer[2].current.drop("cut by the test")
-        f.until(lambda: f.tally["cut"] == 1)  # the standing call is gone
+        f.run_until(lambda: f.call_servers[2].finals["stands"] == 1 and len(f.call_servers[2].calls) == 2)
+        f.fronts[1].links[2].current.drop("cut by the test")
+        f.run_until(lambda: f.tally["cut"] == 1)  # the standing call is gone
         f.offices[2].hung = False
-        f.until(lambda: answered(f.tally) == 2)  # the pending one is set up anew
-        assert f.cores[1].finals["stands"] == 2
-        f.until(lambda: 2 in f.cores[1].links and f.cores[1].groups[2].free >= 5)
-        f.hang_up()
-        f.until(f.idle)
+        f.run_until(lambda: answered(f.tally) == 2)  # the pending one is set up anew
+        assert f.call_servers[1].finals["stands"] == 2
+        f.run_until(lambda: 2 in f.call_servers[1].links and f.call_servers[1].groups[2].free >= 5)
+        f.hang_up_all()
+        f.run_until(f.all_circuits_free)
 
 
 def test_an_office_that_answers_after_the_caller_gave_up(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         f.offices[2].slow = 2_000.0  # about a second
         f.call(1, 2, 0)
-        f.until(lambda: len(f.cores[2].calls) == 1)
+        f.run_until(lambda: len(f.call_servers[2].calls) == 1)
         wish = next(iter(f.callers[1].on.values()))
         f.callers[1]._hang_up(f.loop.now, wish)
-        f.until(f.idle)
+        f.run_until(f.all_circuits_free)
         f.loop.run_until(lambda: f.offices[2].free_at < f.loop.now, 5_000)
         f.loop.run_until(lambda: False, 100)
-        assert answered(f.tally) == 0 and not f.cores[1].calls and not f.cores[2].calls
+        assert answered(f.tally) == 0 and not f.call_servers[1].calls and not f.call_servers[2].calls
         assert not f.callers[1].faults
 
 
@@ -77,10 +77,10 @@
             f.call(1, 2, serial)
             turns = serial % 8
             for _ in range(turns):
-                f.loop.turn(1.0)
+                f.loop.run_once(1.0)
             for wish in list(f.callers[1].on.values()):
                 f.callers[1]._hang_up(f.loop.now, wish)
-            f.until(f.idle)
+            f.run_until(f.all_circuits_free)
         assert not f.callers[1].faults and not f.offices[2].faults
 
 
@@ -91,9 +91,9 @@
             for serial in range(4):
                 f.call(1, 2, round_ * 20 + serial)
                 f.call(2, 1, round_ * 20 + 10 + serial)
-            f.until(lambda n=done: answered(f.tally) == n + 8)  # type: ignore[misc]
-            f.hang_up()
-            f.until(f.idle)
+            f.run_until(lambda n=done: answered(f.tally) == n + 8)  # type: ignore[misc]
+            f.hang_up_all()
+            f.run_until(f.all_circuits_free)
         assert f.tally["unserved"] == 0
 
 
@@ -102,41 +102,41 @@
         for serial in range(4):
             f.call(1, 2, serial)
             f.call(3, 2, 10 + serial)
-        f.until(lambda: answered(f.tally) == 8)
+        f.run_until(lambda: answered(f.tally) == 8)
         f.kill(2)
-        f.until(lambda: f.tally["cut"] == 8)
-        assert f.cores[1].groups[2].free == 0
+        f.run_until(lambda: f.tally["cut"] == 8)
+        assert f.call_servers[1].groups[2].free == 0
         f.start(2)
-        f.until(f.ready)
+        f.run_until(f.ready)
         assert answered(f.tally) == 8 and f.tally["cut"] == 8
         f.call(1, 2, 20)
-        f.until(lambda: answered(f.tally) == 9)
+        f.run_until(lambda: answered(f.tally) == 9)
 
 
 def test_a_tandem_drains_in_the_middle_of_a_set_up(tmp_path: Path) -> None:
     with fleet(tmp_path, group=4) as f:
         for serial in range(4):
             f.call(1, 2, serial)
-            f.until(lambda n=serial: answered(f.tally) == n + 1)  # type: ignore[misc]
+            f.run_until(lambda n=serial: answered(f.tally) == n + 1)  # type: ignore[misc]
         f.offices[2].slow = 400.0
         f.call(1, 2, 4)  # over exchange 3
-        f.until(lambda: len(f.cores[3].calls) == 1)
-        f.list.change(3, m3ua.DRST)
-        f.until(lambda: answered(f.tally) == 5)  # it stands all the same
+        f.run_until(lambda: len(f.call_servers[3].calls) == 1)
+        f.exchange_list.change(3, m3ua.DRST)
+        f.run_until(lambda: answered(f.tally) == 5)  # it stands all the same
         f.loop.run_until(lambda: False, 300.0)
-        before = f.cores[3].last_ref
+        before = f.call_servers[3].last_ref
         f.call(1, 2, 5)
-        f.until(lambda: f.tally["unserved"] == 1, 12_000)
-        assert f.cores[3].last_ref == before  # nothing new went to it
+        f.run_until(lambda: f.tally["unserved"] == 1, 12_000)
+        assert f.call_servers[3].last_ref == before  # nothing new went to it
 
 
 def test_half_a_frame_and_then_silence_ends_that_connection_only(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         sock = connect(f.ports[1])
-        sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.word(2_001))])[:11])
+        sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(2_001))])[:11])
         f.call(1, 2, 0)
-        f.until(lambda: answered(f.tally) == 1)
-        f.until(lambda: _ended(sock), 4_000)
+        f.run_until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: _ended(sock), 4_000)
         assert f.callers[1].up
         sock.close()
 
@@ -153,18 +153,18 @@
 def test_a_peer_that_never_reads_is_dropped_and_harms_nobody(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         channel = f.channel(1, 2)
-        channel.stream.limit = 20_000
+        channel.stream.max_unsent_bytes = 20_000
         far = f.channel(2, 1)
         f.loop.readers.pop(far.stream.fd)  # exchange 2 stops reading
         f.loop._mask(far.stream.fd)
         for _ in range(200_000):
             if channel.stream.closed:
                 break
-            channel.send(m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT, b"x" * 2_000)]))
+            channel.send(m3ua.encode(m3ua.BEAT, [(m3ua.HEARTBEAT_DATA, b"x" * 2_000)]))
             channel.stream.flush()
         assert channel.stream.closed
         f.call(1, 3, 0)
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
 
 
 @pytest.mark.parametrize(
@@ -193,11 +193,11 @@
             got.extend(data)
             return not data
 
-        f.until(ended)
+        f.run_until(ended)
         sock.close()
         message = m3ua.decode(m3ua.Splitter().feed(bytes(got))[0])
         assert isinstance(message, m3ua.Message) and message.kind == m3ua.ERR
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
 
 
 def test_strangers_and_wrong_contexts_get_err_and_harm_no_call(tmp_path: Path) -> None:
@@ -214,23 +214,23 @@
             for frame in frames:
                 message = m3ua.decode(frame)
                 if isinstance(message, m3ua.Message) and message.kind == m3ua.ERR:
-                    codes.append(message.number(m3ua.ERROR_CODE))
+                    codes.append(message.integer(m3ua.ERROR_CODE))
             return len(codes) >= count
 
         body = m3ua.encode_data(m3ua.Data(77, 1, 5, 2, 0, 1, b"\1\0\x12", 5))
-        sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.word(77))]) + m3ua.encode(m3ua.ASPUP) + body)
-        f.until(lambda: heard(3))
-        assert codes == [m3ua.INVALID_ASP_ID, m3ua.ASP_ID_REQUIRED, m3ua.UNEXPECTED]
+        sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(77))]) + m3ua.encode(m3ua.ASPUP) + body)
+        f.run_until(lambda: heard(3))
+        assert codes == [m3ua.INVALID_ASP_ID, m3ua.ASP_ID_REQUIRED, m3ua.UNEXPECTED_MESSAGE]
         sock.close()
         association = f.callers[1].association
         assert association is not None
         before = association.state
         association.send(m3ua.encode_data(m3ua.Data(2_001, 1, 5, 2, 0, 1, b"\1\0\x12", 4_711)))
         association.send(m3ua.encode((9, 9)))
-        f.until(lambda: len(f.callers[1].faults) == 2)
+        f.run_until(lambda: len(f.callers[1].faults) == 2)
         assert f.callers[1].faults == ["ERR 25", "ERR 3"] and association.state is before
         f.call(1, 2, 0)
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
 
 
 def test_clock_jumps_break_nothing(tmp_path: Path) -> None:
@@ -242,35 +242,35 @@
 
     with fleet(tmp_path, clock=clock) as f:
         f.call(1, 2, 0)
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
         shift = 1.0
         f.call(1, 2, 1)
-        f.until(lambda: answered(f.tally) == 2)
+        f.run_until(lambda: answered(f.tally) == 2)
         latest = f.loop.now
         shift = 0.5
         f.call(1, 2, 2)
-        f.until(lambda: answered(f.tally) == 3)
+        f.run_until(lambda: answered(f.tally) == 3)
         assert f.loop.now >= latest
-        f.hang_up()
-        f.until(f.idle)
+        f.hang_up_all()
+        f.run_until(f.all_circuits_free)
 
 
 def test_confusion_is_answered_and_calls_go_on(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         f.call(1, 2, 0)
-        f.until(lambda: answered(f.tally) == 1)
+        f.run_until(lambda: answered(f.tally) == 1)
         association = f.callers[1].association
         assert association is not None
         seen: list[int] = []
         f.callers[1].isup = lambda message: seen.append(message.type)  # type: ignore[method-assign]
-        association.data(m3ua.SI_ISUP, 1, b"\x05\x00\xee")
-        association.data(m3ua.SI_ISUP, 1, b"\x05\x00\x01\x00")
-        f.until(lambda: seen == [isup.CFN, isup.CFN])
-        assert f.cores[1].finals["stands"] == 1 and len(f.cores[1].calls) == 1
+        association.send_data(m3ua.SI_ISUP, 1, b"\x05\x00\xee")
+        association.send_data(m3ua.SI_ISUP, 1, b"\x05\x00\x01\x00")
+        f.run_until(lambda: seen == [isup.CFN, isup.CFN])
+        assert f.call_servers[1].finals["stands"] == 1 and len(f.call_servers[1].calls) == 1
 
 
 def test_the_relay_finds_circuit_type_and_service_in_a_frame() -> None:
-    message = isup.Isup(0x123, isup.RLC)
+    message = isup.IsupMessage(0x123, isup.RLC)
     frame = m3ua.encode_data(m3ua.Data(1, 2, m3ua.SI_ISUP, 2, 0, 3, isup.encode(message), 9))
     assert relay._cic(frame) == 0x123
     assert (frame[relay.SERVICE], frame[relay.TYPE]) == (m3ua.SI_ISUP, isup.RLC)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 
 from ospreybridge import Controller, simhost, wire
 from ospreybridge import interface as i
-from ospreybridge.settings.instance import Pairs, read, read_report
+from ospreybridge.settings.instance import SettingPairs, read_report, read_settings
 
 SETTINGS = """Classes.count=2
 Classes.0.OnTime=1500.0
@@ -136,15 +136,15 @@
     assert found == [
         (2, i.Request(9, 1, 4, 99.5, 2.0, 2, -1, 77, 0.0, True, True, True), ()),
         (2, i.Probed(office, i.Result.OK, 1.5), (3.0, 8.0)),
-        (2, i.Stands(9, 1, office, 12.5), ()),
+        (2, i.Established(9, 1, office, 12.5), ()),
         (2, i.CallerLeft(9), ()),
         (
             2,
             i.Outcome(9, 1, office, i.Result.FULL, 5.5, True, i.Note.PROCESSOR_FULL, 250.0),
             (1.0, 8.0, 44.0),
         ),
-        (2, i.Peer(5, b"hi"), ()),
-        (2, i.Timer(1 << 40), ()),
+        (2, i.PeerMessage(5, b"hi"), ()),
+        (2, i.TimerExpired(1 << 40), ()),
         (2, wire.Retire(), ()),
     ]
 
@@ -168,16 +168,16 @@
     office = wire.office_id(OFFICE)
     actions: list[tuple[int, i.Action | wire.Fault]] = [
         (3, i.Send(9, office, 80.0)),
-        (3, i.Remind(77, 500.0)),
+        (3, i.StartTimer(77, 500.0)),
         (3, i.Refuse(9, 12.5)),
         (3, i.Fail(9)),
         (3, i.Cancel(9, 2)),
-        (3, i.Follow(True)),
+        (3, i.Subscribe(True)),
         (3, i.Lookup()),
         (3, i.Probe(office)),
         (3, i.Close(office)),
-        (3, i.Tell(None, b"hi")),
-        (3, i.Tell(4, b"yo")),
+        (3, i.NotifyPeers(None, b"hi")),
+        (3, i.NotifyPeers(4, b"yo")),
         (3, i.Remark("log")),
         (3, wire.Fault("bad")),
     ]
@@ -207,16 +207,16 @@
 
 
 def test_settings_are_read_and_unknown_keys_passed_over() -> None:
-    settings, columns = read(Pairs.of_text(SETTINGS))
+    settings, columns = read_settings(SettingPairs.from_text(SETTINGS))
     assert columns == ("free", "size", "lat_ms")
     assert [kind.width for kind in settings.classes] == [1.0, 2.0]
     assert [kind.hold for kind in settings.classes] == [12_400.0, 9_000.0]
     assert settings.classes[1].semantics is i.Semantics.GUARDED
-    assert settings.classes[1].group is i.Group.ZONE
+    assert settings.classes[1].retry_scope is i.RetryScope.ZONE
     assert settings.tenants == (i.Tenant(22.0, 0.65),)
-    assert (settings.here, settings.peers, settings.tick) == (1, 4, 5.0)
+    assert (settings.own_exchange, settings.server_count, settings.tick) == (1, 4, 5.0)
     assert settings.rules.release == 200.0
-    assert settings.limits.cancel and settings.limits.most_tries == 4
+    assert settings.limits.cancel and settings.limits.max_tries == 4
     assert read_report(columns, (3.0, 8.0, -1.0)) == i.Report(3.0, 8.0)
     assert read_report(columns, ()) is None
 
@@ -224,9 +224,9 @@
 def test_pools_name_the_cells_of_each_class() -> None:
     cells = "FamilyInfo.ClassCells.count=2\nFamilyInfo.ClassCells.0=1,2\nFamilyInfo.ClassCells.1=3\n"
     text = SETTINGS + cells
-    settings, _ = read(Pairs.of_text(text.replace("Layout=mesh", "Layout=pools")))
+    settings, _ = read_settings(SettingPairs.from_text(text.replace("Layout=mesh", "Layout=pools")))
     assert settings.layout is i.Layout.POOLS
-    assert [kind.cells for kind in settings.classes] == [(1, 2), (3,)]
+    assert [kind.allowed_pools for kind in settings.classes] == [(1, 2), (3,)]
 
 
 def test_an_instance_starts_anew_and_leaves_the_others_alone() -> None:
