--- a/ospreybridge/core/calls.py
+++ b/ospreybridge/core/calls.py
@@ -1,4 +1,4 @@
-"""What the call server keeps of a call: its incoming leg, its one attempt, how far it is."""
+"""State of a call in the call server: its incoming leg, its current attempt and its stage."""
 
 from __future__ import annotations
 
@@ -9,60 +9,67 @@
 from ospreybridge.signalling.isup import IsupMessage
 
 
-class Stage(IntEnum):
-    PENDING = 0  # owed a final answer
-    STANDS = 1  # address complete was passed back
-    ANSWERED = 2  # answer was passed back too
-    OVER = 3
+class CallStage(IntEnum):
+    """How far a call has progressed."""
+
+    PENDING = 0  # needs a final answer
+    ESTABLISHED = 1  # address complete (ACM) was passed back
+    ANSWERED = 2  # answer (ANM or CON) was passed back
+    ENDED = 3
 
 
 class Leg:
     """One side of a call on one trunk group."""
 
-    __slots__ = ("call", "cics", "glare", "group", "outgoing", "released", "timer")
+    __slots__ = ("call", "cics", "group", "outgoing", "released_at", "timer", "won_dual_seizure")
 
     def __init__(self, group: TrunkGroup, cics: tuple[int, ...], call: Call, outgoing: bool) -> None:
         self.group, self.cics, self.outgoing = group, cics, outgoing
         self.call: Call | None = call
-        self.glare = False  # the far end seized it at the same time and has to yield
-        self.released = 0.0  # when our first REL went out
+        self.won_dual_seizure = False  # the far end seized its circuit at the same time and has to give way
+        self.released_at = 0.0  # time of our first REL, ms
         self.timer: ScheduledTimer | None = None
 
 
 class Call:
+    """One call, from its IAM until both legs are released. Times are in milliseconds."""
+
     __slots__ = (
-        "attempt",
+        "attempt_number",
+        "attempt_sent_at",
         "called",
         "calling",
         "cause",
-        "cls",
-        "dest",
-        "expires",
+        "cause_source",
+        "class_index",
+        "destination",
+        "expires_at",
         "iam",
-        "inc",
-        "local",
-        "out",
+        "incoming_leg",
+        "is_transit",
+        "outgoing_leg",
         "ref",
-        "sent",
-        "source",
         "stage",
+        "terminates_here",
         "timer",
         "trace",
-        "transit",
         "width",
     )
 
     def __init__(self, ref: int, iam: IsupMessage, width: int) -> None:
         self.ref, self.width = ref, width
-        self.iam: IsupMessage | None = iam  # kept until the call stands: an attempt sends it on
-        self.inc: Leg | None = None
-        self.out: Leg | None = None
+        self.iam: IsupMessage | None = iam  # kept until the call is established, for further attempts
+        self.incoming_leg: Leg | None = None
+        self.outgoing_leg: Leg | None = None
         self.called = self.calling = ""
-        self.cls, self.dest = 0, -1
-        self.expires = self.sent = 0.0
-        self.attempt = -1  # number of the newest attempt; None is ever out beside it
-        self.stage = Stage.PENDING
-        self.local = self.transit = False  # local: delivered to the own exchange's lines
-        self.trace = ref  # point code where the call began, times 2^32, and its number there: for logs
-        self.cause = self.source = 0  # of the last release: its value, and where it failed
+        self.class_index, self.destination = 0, -1
+        self.expires_at = self.attempt_sent_at = 0.0
+        self.attempt_number = -1  # of the newest attempt; at most that one is outstanding
+        self.stage = CallStage.PENDING
+        # Delivered to the own office; received from another exchange.
+        self.terminates_here = self.is_transit = False
+        self.trace = (
+            ref  # identifies the call in the logs of all exchanges: origin point code << 32 | ref there
+        )
+        self.cause = self.cause_source = 0  # of the last release, and the point code where the call failed
         self.timer: ScheduledTimer | None = None
--- a/ospreybridge/core/changeover.py
+++ b/ospreybridge/core/changeover.py
@@ -1,9 +1,9 @@
-"""One peer's way, over one association or from an old one to a new one without a message lost or overtaken.
+"""The link to one peer, and its changeover to a new association without loss or reordering of messages.
 
-Make-before-break: the new association is active before the old is left (RFC 4666, 4.3.4.3, override mode).
-Two TCP connections keep no order between them, so a REL could overtake its IAM. Each side therefore sends a
-BEAT as the last thing on the old association, holds what it would send, and goes on over the new one when
-the BEAT ACK has shown that all before it arrived.
+Make-before-break: the new association is active before the old one is left (RFC 4666, 4.3.4.3, override
+mode). Order is not kept across two TCP connections, so a REL could overtake its IAM. Each side therefore
+sends a BEAT as the last message on the old association, holds further messages, and sends them on the new one
+once the BEAT ACK shows that everything before it has arrived.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from ospreybridge.core.timers import ScheduledTimer, TimerQueue
 
-LONGEST_HOLD = 1_000.0  # ms; an old association that does not answer for so long is as good as cut
+MAX_HOLD_MS = 1_000.0  # the old association counts as cut if its BEAT is not answered by then
 HeartbeatCallback = Callable[[bool], None]
 
 
 class Carrier(Protocol):
-    """One association as the path uses it."""
+    """One association as the link uses it; `answered` is called on the BEAT ACK of a marker."""
 
     def send_data(self, service: int, sls: int, body: bytes) -> None: ...
     def send_marker(self, answered: HeartbeatCallback) -> None: ...
@@ -30,102 +30,108 @@
 
 
 class PeerLink:
-    """The call server's link to one peer; `lost(reason)` is called once, when calls on it can't stand."""
+    """The call server's link to one peer; calls `lost(reason)` once, when the calls on it are lost."""
 
     def __init__(self, timers: TimerQueue, carrier: Carrier, lost: Callable[[str], None]) -> None:
         self.timers, self.current, self.on_lost = timers, carrier, lost
         self.successor: Carrier | None = None
-        self.former: Carrier | None = None
-        self.held: list[tuple[int, int, bytes]] = []
-        self.far_moved = self.dialler = False
-        self.limit: ScheduledTimer | None = None
+        self.previous: Carrier | None = None
+        self.held_messages: list[tuple[int, int, bytes]] = []  # (service indicator, SLS, body)
+        self.peer_has_switched = self.dialler = False
+        self.hold_timer: ScheduledTimer | None = None
         self.closed = False
 
-    # -- the call server's link
+    # -- interface to the call server
 
     def send_data(self, service: int, sls: int, body: bytes) -> None:
+        """Sends a DATA message, or holds it during a changeover."""
         if self.successor is not None:
-            self.held.append((service, sls, body))
+            self.held_messages.append((service, sls, body))
         else:
             self.current.send_data(service, sls, body)
 
     def probe(self, on_result: Callable[[float, float | None], None]) -> None:
+        """Measures the round trip on the current association."""
         self.current.probe(on_result)
 
     def request_audit(self) -> None:
+        """Asks the peer for the whole exchange list."""
         self.current.request_audit()
 
-    # -- moving over
+    # -- changeover
 
     def start_changeover(self, now: float, successor: Carrier, dialler: bool) -> None:
-        """`successor` is active. The side that dialled leaves the old association when both have moved."""
+        """Starts the changeover to `successor`, which is active.
+
+        The side that dialled (`dialler`) leaves the old association when both sides have moved.
+        """
         if self.successor is not None:
-            # Of two moves at once the second waits for none: the first one's association is left.
+            # Only one changeover at a time: the second one is refused at once.
             successor.drop("another move is under way")
             return
-        if self.former is not None:
-            self.former.drop("another move begins")
-        # `far_moved` may be told already: the old association can be quicker than the new one's ASPAC ACK.
-        self.successor, self.former, self.dialler = successor, None, dialler
-        self.limit = self.timers.schedule(now + LONGEST_HOLD, self._too_long)
-        self.current.send_marker(lambda came: self._marked(successor) if came else None)
-
-    def _marked(self, successor: Carrier) -> None:
-        """All that was sent on the old association has arrived."""
+        if self.previous is not None:
+            self.previous.drop("another move begins")
+        # `peer_has_switched` may be set already: the NTFY on the old association can precede the ASPAC ACK.
+        self.successor, self.previous, self.dialler = successor, None, dialler
+        self.hold_timer = self.timers.schedule(now + MAX_HOLD_MS, self._hold_timeout)
+        self.current.send_marker(lambda answered: self._marker_answered(successor) if answered else None)
+
+    def _marker_answered(self, successor: Carrier) -> None:
+        """Everything sent on the old association has arrived: switches to the new one."""
         if self.successor is not successor or self.closed:
             return
-        self._stop_limit()
-        self.former, self.current, self.successor = self.current, successor, None
+        self._cancel_hold_timer()
+        self.previous, self.current, self.successor = self.current, successor, None
         if not self.dialler:
-            self.former.notify_alternate_active()
-        self._flush()
-        self._leave()
+            self.previous.notify_alternate_active()
+        self._send_held_messages()
+        self._leave_previous()
 
-    def _flush(self) -> None:
-        held, self.held = self.held, []
+    def _send_held_messages(self) -> None:
+        held, self.held_messages = self.held_messages, []
         for service, sls, body in held:
             self.current.send_data(service, sls, body)
 
     def peer_switched(self) -> None:
-        """The far end sends nothing more on the old association."""
-        self.far_moved = True
-        self._leave()
+        """The far end sends nothing more on the old association (NTFY, alternate ASP active)."""
+        self.peer_has_switched = True
+        self._leave_previous()
 
-    def _leave(self) -> None:
-        if self.dialler and self.far_moved and self.former is not None and self.successor is None:
-            former, self.former, self.far_moved = self.former, None, False
-            former.shut_down("moved over")
+    def _leave_previous(self) -> None:
+        if self.dialler and self.peer_has_switched and self.previous is not None and self.successor is None:
+            previous, self.previous, self.peer_has_switched = self.previous, None, False
+            previous.shut_down("moved over")
 
-    def _too_long(self, now: float) -> None:
-        self._lost("the old association did not answer while moving over")
+    def _hold_timeout(self, now: float) -> None:
+        self._fail("the old association did not answer while moving over")
 
-    def _stop_limit(self) -> None:
-        if self.limit is not None:
-            self.limit.cancel()
-            self.limit = None
+    def _cancel_hold_timer(self) -> None:
+        if self.hold_timer is not None:
+            self.hold_timer.cancel()
+            self.hold_timer = None
 
-    # -- ends
+    # -- end of associations
 
     def association_ended(self, carrier: Carrier, reason: str) -> None:
-        """An association of this peer is down."""
+        """Handles the end of one of the associations to this peer."""
         if self.closed:
             return
         if carrier is self.successor:
-            # The move failed before this side sent anything over it: the old one goes on.
+            # The changeover failed before anything was sent on the new association: stay on the old one.
             self.successor = None
-            self._stop_limit()
-            self._flush()
+            self._cancel_hold_timer()
+            self._send_held_messages()
         elif carrier is self.current:
-            # What was under way on it may be lost: both ends must see the same, so nothing else lives on.
-            self._lost(reason, carrier)
-        elif carrier is self.former:
-            self.former = None
+            # Messages in transit may be lost. Both ends must see the same loss, so the others end as well.
+            self._fail(reason, carrier)
+        elif carrier is self.previous:
+            self.previous = None
 
-    def _lost(self, reason: str, ended: Carrier | None = None) -> None:
+    def _fail(self, reason: str, ended: Carrier | None = None) -> None:
         self.closed = True
-        self._stop_limit()
-        self.held = []
-        for carrier in (self.successor, self.former, self.current):
+        self._cancel_hold_timer()
+        self.held_messages = []
+        for carrier in (self.successor, self.previous, self.current):
             if carrier is not None and carrier is not ended:
                 carrier.drop(reason)
         self.on_lost(reason)
--- a/ospreybridge/core/circuits.py
+++ b/ospreybridge/core/circuits.py
@@ -1,7 +1,7 @@
-"""Circuits of one trunk group, shared by both ends (Q.764): selection, dual seizure, blocking, what is free.
+"""Circuits of a trunk group, shared by both ends (Q.764): states, selection, dual seizure and blocking.
 
-The number of free circuits is exact at every moment: an idle, unblocked circuit stands in one of two lists,
-and every change of state goes through `_settle`.
+The number of free circuits is always exact: each idle, unblocked circuit is in one of two lists, and every
+change of state or blocking goes through `_update_idle`.
 """
 
 from __future__ import annotations
@@ -14,105 +14,121 @@
 
 
 class CircuitState(IntEnum):
+    """State of one circuit as this end sees it; blocking is kept apart."""
+
     IDLE = 0
-    SEIZED = 1  # seized by us, nothing came back yet: dual seizure is possible
-    HELD = 2  # seized by us, the far end has answered something
-    IN = 3  # seized by the far end
+    SEIZED = 1  # our IAM is out and no backward message arrived: dual seizure is possible
+    CONFIRMED = 2  # seized by us, and the far end has answered with a backward message
+    INCOMING = 3  # seized by the far end
     RELEASING = 4  # REL sent, RLC awaited
     RESETTING = 5  # RSC or GRS sent, RLC or GRA awaited
-    DOWN = 6  # no association: must be reset before use
+    DOWN = 6  # no link: must be reset before use
 
 
 class Circuit:
-    __slots__ = ("cic", "far_blocked", "leg", "near_blocked", "state")
+    """State and blocking of one circuit, and the leg that uses it."""
+
+    __slots__ = ("cic", "leg", "locally_blocked", "remotely_blocked", "state")
 
     def __init__(self, cic: int) -> None:
         self.cic = cic
         self.state = CircuitState.DOWN
-        self.near_blocked = self.far_blocked = False
+        self.locally_blocked = self.remotely_blocked = False
         self.leg: Leg | None = None
 
 
 class TrunkGroup:
     """The circuits towards one adjacent exchange or office."""
 
-    def __init__(self, name: str, cics: tuple[int, ...], here: int, there: int, changed: set[int]) -> None:
-        self.name, self.here, self.there = name, here, there
-        self.changed = changed  # point codes of groups whose free circuits changed; shared by all groups
+    def __init__(
+        self, name: str, cics: tuple[int, ...], own_code: int, peer_code: int, changed_groups: set[int]
+    ) -> None:
+        self.name, self.own_code, self.peer_code = name, own_code, peer_code
+        # Peer codes of groups whose free circuits changed; one set shared by all groups.
+        self.changed_groups = changed_groups
         self.circuits = {cic: Circuit(cic) for cic in cics}
-        self.ours: dict[int, None] = {}  # idle ones that we control, longest idle first
-        self.theirs: dict[int, None] = {}  # idle ones that the far end controls, longest idle first
+        self.own_idle: dict[int, None] = {}  # idle circuits we control, longest idle first
+        self.peer_idle: dict[int, None] = {}  # idle circuits the peer controls, longest idle first
 
     @property
     def free(self) -> int:
-        return len(self.ours) + len(self.theirs)
+        """Number of idle, unblocked circuits."""
+        return len(self.own_idle) + len(self.peer_idle)
 
     @property
     def size(self) -> int:
+        """Number of circuits in any state."""
         return len(self.circuits)
 
     def controls(self, cic: int) -> bool:
-        """The exchange with the higher point code controls the even circuits (Q.764, 2.9.1.4)."""
-        return (self.here > self.there) == (cic % 2 == 0)
+        """Whether this end controls a circuit: the higher point code has the even ones (Q.764, 2.9.1.4)."""
+        return (self.own_code > self.peer_code) == (cic % 2 == 0)
 
     def set_state(self, circuit: Circuit, state: CircuitState, leg: Leg | None = None) -> None:
+        """Changes the state of a circuit and the leg that uses it."""
         circuit.state, circuit.leg = state, leg
-        self._settle(circuit)
+        self._update_idle(circuit)
 
     def set_blocked(self, circuit: Circuit, *, local: bool | None = None, remote: bool | None = None) -> None:
-        circuit.near_blocked = circuit.near_blocked if local is None else local
-        circuit.far_blocked = circuit.far_blocked if remote is None else remote
-        self._settle(circuit)
-
-    def _settle(self, circuit: Circuit) -> None:
-        idle = self.ours if self.controls(circuit.cic) else self.theirs
-        usable = circuit.state is CircuitState.IDLE and not circuit.near_blocked and not circuit.far_blocked
-        if usable and circuit.cic not in idle:
-            idle[circuit.cic] = None
-            self.changed.add(self.there)
-        elif not usable and circuit.cic in idle:
-            del idle[circuit.cic]
-            self.changed.add(self.there)
+        """Changes the blocking by this end (`local`) or the far end (`remote`); None leaves it as it is."""
+        circuit.locally_blocked = circuit.locally_blocked if local is None else local
+        circuit.remotely_blocked = circuit.remotely_blocked if remote is None else remote
+        self._update_idle(circuit)
+
+    def _update_idle(self, circuit: Circuit) -> None:
+        idle_list = self.own_idle if self.controls(circuit.cic) else self.peer_idle
+        usable = (
+            circuit.state is CircuitState.IDLE
+            and not circuit.locally_blocked
+            and not circuit.remotely_blocked
+        )
+        if usable and circuit.cic not in idle_list:
+            idle_list[circuit.cic] = None
+            self.changed_groups.add(self.peer_code)
+        elif not usable and circuit.cic in idle_list:
+            del idle_list[circuit.cic]
+            self.changed_groups.add(self.peer_code)
 
     def select(self, width: int) -> tuple[int, ...]:
-        """Circuits for a call: ours that is idle longest, else theirs that is idle shortest (method 2).
+        """Chooses `width` circuits for a call (Q.764, method 2); empty if there are not enough.
 
-        That order keeps dual seizure rare. A wide call takes neighbours if it can, else any of one multiplex
-        (by the circuit assignment map); empty where there are none.
+        Prefers the longest idle circuit that this end controls, else the shortest idle one of the far end:
+        that keeps dual seizure rare. A call wider than one circuit gets adjacent circuits if possible, else
+        any of the same 32-circuit multiplex, which the circuit assignment map can describe.
         """
         if width == 1:
-            if self.ours:
-                return (next(iter(self.ours)),)
-            return (next(reversed(self.theirs)),) if self.theirs else ()
-        free = [*self.ours, *reversed(self.theirs)]
+            if self.own_idle:
+                return (next(iter(self.own_idle)),)
+            return (next(reversed(self.peer_idle)),) if self.peer_idle else ()
+        free = [*self.own_idle, *reversed(self.peer_idle)]
         idle = set(free)
         for cic in free:
-            run = tuple(range(cic, cic + width))
-            if idle.issuperset(run) and cic >> 5 == run[-1] >> 5:
-                return run
+            candidate = tuple(range(cic, cic + width))
+            if idle.issuperset(candidate) and cic >> 5 == candidate[-1] >> 5:
+                return candidate
         for cic in free:
-            same = sorted(other for other in free if other >> 5 == cic >> 5)
-            if len(same) >= width:
-                return tuple(same[:width])
+            same_multiplex = sorted(other for other in free if other >> 5 == cic >> 5)
+            if len(same_multiplex) >= width:
+                return tuple(same_multiplex[:width])
         return ()
 
-    def yields(self, mine: tuple[int, ...], other: tuple[int, ...]) -> bool:
-        """Whether our call is the loser of a dual seizure (Q.764, 2.9.1.4): both ends judge alike.
+    def loses_dual_seizure(self, own_cics: tuple[int, ...], peer_cics: tuple[int, ...]) -> bool:
+        """Whether our call gives way in a dual seizure (Q.764, 2.9.1.4); the far end concludes the opposite.
 
-        The wider call goes on. Of two single ones the exchange that controls the circuit goes on; of two
-        equally wide ones the lowest circuit over the width decides in place of the circuit.
+        The wider call proceeds. Of two single-circuit calls, that of the end which controls the circuit
+        proceeds; of two wider calls of one width, the lowest circuit divided by the width decides instead.
         """
-        if len(mine) != len(other):
-            return len(mine) < len(other)
-        return not self.controls(min(mine + other) // len(mine))
+        if len(own_cics) != len(peer_cics):
+            return len(own_cics) < len(peer_cics)
+        return not self.controls(min(own_cics + peer_cics) // len(own_cics))
 
 
-def runs(cics: list[int], longest: int = 32) -> list[tuple[int, int]]:
-    """(first, count) of neighbouring circuits, as the group messages name them; at most `longest` each."""
-    found: list[tuple[int, int]] = []
+def contiguous_ranges(cics: list[int], max_length: int = 32) -> list[tuple[int, int]]:
+    """Splits circuits into (first, count) ranges of at most `max_length` circuits, for group messages."""
+    ranges: list[tuple[int, int]] = []
     for cic in sorted(cics):
-        if found and found[-1][0] + found[-1][1] == cic and found[-1][1] < longest:
-            found[-1] = (found[-1][0], found[-1][1] + 1)
+        if ranges and ranges[-1][0] + ranges[-1][1] == cic and ranges[-1][1] < max_length:
+            ranges[-1] = (ranges[-1][0], ranges[-1][1] + 1)
         else:
-            found.append((cic, 1))
-    return found
+            ranges.append((cic, 1))
+    return ranges
--- a/ospreybridge/core/outcomes.py
+++ b/ospreybridge/core/outcomes.py
@@ -1,12 +1,12 @@
-"""What a release means to the module, and what the module's refusal is called in ISUP: tables only."""
+"""Maps ISUP causes of a release to results for the controller, and refusals to ISUP causes."""
 
 from __future__ import annotations
 
 from ospreybridge.interface import Note, Result
 from ospreybridge.signalling import causes
 
-# cause: (result and note where the next hop itself says so, the same where it passes on another's word)
-_BY_CAUSE: dict[int, tuple[tuple[Result, Note], tuple[Result, Note]]] = {
+# cause: (result and note if the adjacent exchange itself failed, the same if a tandem relays the cause)
+_OUTCOMES_BY_CAUSE: dict[int, tuple[tuple[Result, Note], tuple[Result, Note]]] = {
     causes.NO_CIRCUIT: ((Result.FULL, Note.NO_CIRCUIT), (Result.FULL, Note.TURNED_BACK)),
     causes.RESOURCE_UNAVAILABLE: ((Result.FULL, Note.NO_CIRCUIT), (Result.FULL, Note.TURNED_BACK)),
     causes.CONGESTION: ((Result.FULL, Note.PROCESSOR_FULL), (Result.FULL, Note.TURNED_BACK)),
@@ -16,7 +16,8 @@
     causes.TIMER_EXPIRY: ((Result.TIMEOUT, Note.NONE), (Result.TIMEOUT, Note.NONE)),
     causes.USER_BUSY: ((Result.ERROR, Note.LINES_BUSY), (Result.ERROR, Note.LINES_BUSY)),
 }
-_ENDS = (
+# Causes that end the call, whichever exchange gave them.
+_FINAL_CAUSES = (
     causes.UNALLOCATED_NUMBER,
     causes.NORMAL_CLEARING,
     causes.NO_USER_RESPONDING,
@@ -25,34 +26,41 @@
     causes.NORMAL_UNSPECIFIED,
     causes.BEARER_NOT_IMPLEMENTED,
 )
-_NO_WAIT_TOLD = 1.0  # ms: a full processor beyond the tandem that names no wait; 0 would read as "no circuit"
+# Wait reported for a congested exchange beyond the tandem that names none: 0 would read as "no circuit".
+_UNSPECIFIED_WAIT_MS = 1.0
 
 
-def of_release(cause: int, source: int, tandem: int, direct: bool, wait: float) -> tuple[Result, Note, float]:
-    """Result, note and wait of an attempt released before it stood.
+def outcome_of_release(
+    cause: int, source: int, tandem: int, direct: bool, wait: float
+) -> tuple[Result, Note, float]:
+    """Result, note and wait (ms) of an attempt that was released before it was established.
 
-    `source`: point code where the call failed; `tandem`: the adjacent exchange; `wait`: ms it asked for.
+    `source`: point code where the call failed; `tandem`: the adjacent exchange; `direct`: whether that is the
+    destination; `wait`: ms after which the release allows another attempt.
     """
-    if cause in _ENDS:
+    if cause in _FINAL_CAUSES:
         return Result.ERROR, Note.NONE, 0.0
-    own, beyond = _BY_CAUSE.get(cause, ((Result.RESET, Note.NONE), (Result.RESET, Note.NONE)))
+    direct_outcome, relayed_outcome = _OUTCOMES_BY_CAUSE.get(
+        cause, ((Result.RESET, Note.NONE), (Result.RESET, Note.NONE))
+    )
     if direct:
-        return *own, wait
+        return *direct_outcome, wait
     if source == tandem and cause == causes.CONGESTION:
-        return *own, wait
+        return *direct_outcome, wait
     if cause == causes.CONGESTION:
-        return *beyond, max(wait, _NO_WAIT_TOLD)
-    # What the tandem itself could not do for this destination is its turn-back.
-    return *beyond, 0.0
+        return *relayed_outcome, max(wait, _UNSPECIFIED_WAIT_MS)
+    # The tandem could not carry the call on to this destination: it turned the call back.
+    return *relayed_outcome, 0.0
 
 
-def of_refusal(last: int, free: int | None) -> int:
-    """Cause of a refusal: the last attempt's, else why nothing was tried (free is None without a group)."""
-    if last:
-        return last
+def cause_of_refusal(last_cause: int, free: int | None) -> int:
+    """Cause of a refusal: that of the last attempt, else why none was made; `free`: None without a group."""
+    if last_cause:
+        return last_cause
     if free is None:
         return causes.NO_ROUTE_TO_DESTINATION
     return causes.NO_CIRCUIT if free == 0 else causes.CONGESTION
 
 
+# Automatic congestion level sent with a release, by cause.
 CONGESTION_LEVEL = {causes.NO_CIRCUIT: 1, causes.RESOURCE_UNAVAILABLE: 1, causes.CONGESTION: 2}
--- a/ospreybridge/core/renewal.py
+++ b/ospreybridge/core/renewal.py
@@ -1,7 +1,7 @@
-"""When standing links move over to a new association: after their set was replaced, and at a stated age.
+"""Schedules the move of established links to a new association: after a key set was replaced, and by age.
 
 No I/O, time from the caller, randomness from a seed. The moves are spread so that a fleet whose certificates
-were replaced together, or that came up together, does not shake hands together.
+were replaced together, or that started together, does not do its handshakes all at once.
 """
 
 from __future__ import annotations
@@ -11,44 +11,45 @@
 
 from ospreybridge.core.handshakes import backoff
 
-MAX_CONCURRENT_MOVES = (
-    2  # moves in progress: one may hang at a peer that does not answer without holding up the rest
-)
-RETRY = 1_000.0  # ms before a failed move is tried again, doubled with each failure in a row
-AGE_SPREAD = 0.2  # of the age: links that came up together move over within this part of it
-LONGEST_LOOK = 1_000.0  # ms between looks
-SHORTEST_LOOK = 20.0
+MAX_CONCURRENT_MOVES = 2  # one may wait for a silent peer without holding up the rest
+RETRY_MS = 1_000.0  # before a failed move is tried again, doubled with each failure in a row
+AGE_SPREAD_SHARE = 0.2  # of the age: links that came up together move within this part of it
+MAX_CHECK_DELAY_MS = 1_000.0
+MIN_CHECK_DELAY_MS = 20.0
 
 
 @dataclass(slots=True)
-class Standing:
-    digest: str  # of the set its handshake used
-    due: float
+class RenewableLink:
+    """When one link moves to a new association."""
+
+    digest: str  # of the key set its handshake used
+    due: float  # ms
     failures: int = 0
 
 
 class RenewalScheduler:
-    """Links by point code; only those that this side dials: the other side can't begin an association."""
+    """Links by point code; only those this side dials, as the other side cannot start an association."""
 
     def __init__(self, age: float, spread: float, seed: int) -> None:
-        """`age`, `spread`: milliseconds."""
+        """`age`: ms after which a link moves; `spread`: ms within which all move after a replacement."""
         self.age, self.spread, self.random = age, spread, random.Random(seed)
-        self.links: dict[int, Standing] = {}
+        self.links: dict[int, RenewableLink] = {}
         self.moving: set[int] = set()
         self.current_digest = ""
 
     def link_up(self, now: float, peer: int, digest: str) -> None:
-        """A link stands since now, by a handshake that used the set `digest`."""
-        due = now + self.age * (1 - AGE_SPREAD * self.random.random())
-        if self.current_digest and digest != self.current_digest:  # replaced again while it was shaking hands
+        """A link came up, by a handshake with the key set `digest`."""
+        due = now + self.age * (1 - AGE_SPREAD_SHARE * self.random.random())
+        if self.current_digest and digest != self.current_digest:  # replaced again during the handshake
             due = min(due, now + self.spread * self.random.random())
-        self.links[peer] = Standing(digest, due)
+        self.links[peer] = RenewableLink(digest, due)
 
     def link_down(self, peer: int) -> None:
+        """A link was lost and is no longer scheduled."""
         self.links.pop(peer, None)
 
     def key_set_replaced(self, now: float, digest: str) -> None:
-        """A new set is in use: each link of an older one gets its own part of the spread, in drawn order."""
+        """A new key set is in use: links of older ones get equal parts of the spread, in random order."""
         self.current_digest = digest
         stale = [peer for peer, link in self.links.items() if link.digest != digest]
         self.random.shuffle(stale)
@@ -57,7 +58,7 @@
             self.links[peer].due = min(self.links[peer].due, at)
 
     def take_due(self, now: float) -> list[int]:
-        """The peers whose links move over now; `over` must be called for each."""
+        """Peers whose links move now; `move_ended` must be called for each."""
         due = [p for p, link in self.links.items() if link.due <= now and p not in self.moving]
         due.sort(key=lambda peer: self.links[peer].due)
         chosen = due[: max(0, MAX_CONCURRENT_MOVES - len(self.moving))]
@@ -65,14 +66,14 @@
         return chosen
 
     def move_ended(self, now: float, peer: int, moved: bool) -> None:
-        """A move ended. A failed one is tried again later; the standing link stays meanwhile."""
+        """A move ended. A failed one is tried again later; the link stays established meanwhile."""
         self.moving.discard(peer)
         link = self.links.get(peer)
         if link is not None and not moved:
             link.failures += 1
-            link.due = now + backoff(RETRY, link.failures, self.random)
+            link.due = now + backoff(RETRY_MS, link.failures, self.random)
 
     def next_check_delay(self, now: float) -> float:
-        """Milliseconds until the next look is worth while."""
+        """Milliseconds until the next call of `take_due` is due."""
         due = min((link.due for p, link in self.links.items() if p not in self.moving), default=now + 1e9)
-        return min(LONGEST_LOOK, max(SHORTEST_LOOK, due - now))
+        return min(MAX_CHECK_DELAY_MS, max(MIN_CHECK_DELAY_MS, due - now))
--- a/ospreybridge/core/supervision.py
+++ b/ospreybridge/core/supervision.py
@@ -1,104 +1,111 @@
-"""Resets and blocking of circuits (Q.764, 2.8 and 2.9.3): what both ends agree on besides calls."""
+"""Reset and blocking of circuits (Q.764, 2.8 and 2.9.3), with repetition until acknowledged."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-from ospreybridge import interface as i
-from ospreybridge.core.calls import Call, Leg, Stage
-from ospreybridge.core.circuits import Circuit, CircuitState, TrunkGroup, runs
+from ospreybridge import interface
+from ospreybridge.core.calls import Call, CallStage, Leg
+from ospreybridge.core.circuits import Circuit, CircuitState, TrunkGroup, contiguous_ranges
 from ospreybridge.core.timers import ScheduledTimer, TimerQueue
-from ospreybridge.settings.server import TimerSettings as Times
+from ospreybridge.settings.server import TimerSettings
 from ospreybridge.signalling import causes, isup
 from ospreybridge.signalling.isup import IsupMessage
 
 
-class Host(Protocol):
-    """What supervision asks of the call server: to send, and to end what a reset or a blocking has met."""
+class SupervisionHost(Protocol):
+    """What supervision uses of the call server: sending, and ending calls hit by a reset or a blocking."""
 
     links: dict[int, Any]
     timers: TimerQueue
-    timer_settings: Times
+    timer_settings: TimerSettings
 
     def send(self, point_code: int, message: IsupMessage) -> None: ...
     def leg_lost(self, now: float, leg: Leg) -> None: ...
-    def release(self, now: float, leg: Leg, cause: int) -> None: ...
-    def free(self, leg: Leg) -> None: ...
-    def final(self, now: float, call: Call, cause: int) -> None: ...
-    def note(self, event: str, **fields: Any) -> None: ...
-    def attempt_over(
-        self, now: float, call: Call, release: int, result: i.Result, note: i.Note = ...
+    def release_leg(self, now: float, leg: Leg, cause: int) -> None: ...
+    def free_leg(self, leg: Leg) -> None: ...
+    def reject_call(self, now: float, call: Call, cause: int) -> None: ...
+    def log_event(self, event: str, **fields: Any) -> None: ...
+    def end_attempt(
+        self, now: float, call: Call, release_cause: int, result: interface.Result, note: interface.Note = ...
     ) -> None: ...
 
 
-class Supervision:
-    def __init__(self, server: Host) -> None:
+class CircuitSupervision:
+    """Handles and sends the supervision messages of all trunk groups."""
+
+    def __init__(self, server: SupervisionHost) -> None:
         self.server = server
-        self.resets: dict[tuple[int, int], ScheduledTimer] = {}  # GRS or RSC awaiting its answer
-        self.blocks: dict[tuple[int, int, int], ScheduledTimer] = {}  # BLO, UBL, CGB, CGU awaiting theirs
+        # Repetition timers of GRS and RSC without an acknowledgement, by point code and first circuit.
+        self.pending_resets: dict[tuple[int, int], ScheduledTimer] = {}
+        # The same of BLO, UBL and CGB, by point code, first circuit and message type.
+        self.pending_blockings: dict[tuple[int, int, int], ScheduledTimer] = {}
 
     def link_up(self, now: float, group: TrunkGroup) -> None:
-        """Nothing is known of the circuits until the far end has reset them."""
+        """Resets all circuits: their state is unknown until the far end acknowledges."""
         for circuit in group.circuits.values():
             group.set_state(circuit, CircuitState.RESETTING)
-        for first, count in runs(list(group.circuits)):
-            self.reset(now, group, first, count)
+        for first, count in contiguous_ranges(list(group.circuits)):
+            self.send_reset(now, group, first, count)
 
     def link_down(self, point_code: int) -> None:
-        for key in [key for key in self.resets if key[0] == point_code]:
-            self.resets.pop(key).cancel()
-        for block in [key for key in self.blocks if key[0] == point_code]:
-            self.blocks.pop(block).cancel()
-
-    def answered(self, group: TrunkGroup, cic: int) -> None:
-        """RLC to an RSC."""
-        due = self.resets.pop((group.there, cic), None)
-        if due is not None:
-            due.cancel()
+        """Stops repeating resets and blockings towards this peer."""
+        for key in [key for key in self.pending_resets if key[0] == point_code]:
+            self.pending_resets.pop(key).cancel()
+        for block in [key for key in self.pending_blockings if key[0] == point_code]:
+            self.pending_blockings.pop(block).cancel()
+
+    def reset_acknowledged(self, group: TrunkGroup, cic: int) -> None:
+        """Handles the RLC that answers an RSC."""
+        timer = self.pending_resets.pop((group.peer_code, cic), None)
+        if timer is not None:
+            timer.cancel()
             group.set_state(group.circuits[cic], CircuitState.IDLE)
 
     def reset_circuit(self, now: float, group: TrunkGroup, circuit: Circuit) -> None:
-        """RSC: both ends take the circuit as idle afterwards; a call on it is lost."""
+        """Resets the circuit by RSC, after which both ends regard it as idle; a call on it is lost."""
         leg = circuit.leg
         if leg is not None:
             for cic in leg.cics:
                 group.set_state(group.circuits[cic], CircuitState.RESETTING)
             self.server.leg_lost(now, leg)
             for cic in leg.cics:
-                self.reset(now, group, cic, 1)
+                self.send_reset(now, group, cic, 1)
         else:
             group.set_state(circuit, CircuitState.RESETTING)
-            self.reset(now, group, circuit.cic, 1)
-
-    def reset(self, now: float, group: TrunkGroup, first: int, count: int) -> None:
-        """GRS (RSC for one circuit), repeated by its timer until the far end has answered."""
-        known = self.resets.get((group.there, first))
-        if known is not None:
-            known.cancel()
-        if group.there not in self.server.links:
+            self.send_reset(now, group, circuit.cic, 1)
+
+    def send_reset(self, now: float, group: TrunkGroup, first: int, count: int) -> None:
+        """Sends GRS (RSC for one circuit) and repeats it by timer until the far end acknowledges."""
+        previous_timer = self.pending_resets.get((group.peer_code, first))
+        if previous_timer is not None:
+            previous_timer.cancel()
+        if group.peer_code not in self.server.links:
             return
         if count == 1:
-            self.server.send(group.there, IsupMessage(first, isup.RSC))
+            self.server.send(group.peer_code, IsupMessage(first, isup.RSC))
         else:
             self.server.send(
-                group.there,
+                group.peer_code,
                 IsupMessage(first, isup.GRS, {isup.RANGE_STATUS: isup.encode_range_status(count)}),
             )
         wait = self.server.timer_settings.t16 if count == 1 else self.server.timer_settings.t22
-        self.resets[group.there, first] = self.server.timers.schedule(
-            now + wait, self.reset, group, first, count
+        self.pending_resets[group.peer_code, first] = self.server.timers.schedule(
+            now + wait, self.send_reset, group, first, count
         )
 
-    def rsc(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+    def handle_rsc(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles a reset of one circuit; repeats our blocking of it if there is one."""
         circuit = group.circuits[message.cic]
-        self.taken_as_idle(now, group, circuit)
-        self.server.send(group.there, IsupMessage(message.cic, isup.RLC))
-        if circuit.near_blocked:
-            self.block(now, group, message.cic, isup.BLO)
+        self.apply_peer_reset(now, group, circuit)
+        self.server.send(group.peer_code, IsupMessage(message.cic, isup.RLC))
+        if circuit.locally_blocked:
+            self.send_blocking(now, group, message.cic, isup.BLO)
 
-    def taken_as_idle(self, now: float, group: TrunkGroup, circuit: Circuit) -> None:
+    def apply_peer_reset(self, now: float, group: TrunkGroup, circuit: Circuit) -> None:
+        """Frees a circuit that the far end resets; a call on it is lost."""
         leg = circuit.leg
-        # Without an RSC or GRS of ours on the way, the circuit is idle at once; else when that is answered.
+        # If our own RSC or GRS is outstanding, the circuit becomes idle only when that is acknowledged.
         cics = leg.cics if leg is not None else (circuit.cic,)
         for cic in cics:
             if group.circuits[cic].state is not CircuitState.RESETTING:
@@ -107,120 +114,130 @@
         if leg is not None:
             self.server.leg_lost(now, leg)
 
-    def grs(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+    def handle_grs(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles a reset of a range of circuits; the GRA names those that are blocked here."""
         count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for cic in range(message.cic, message.cic + count):
             if cic in group.circuits:
-                self.taken_as_idle(now, group, group.circuits[cic])
+                self.apply_peer_reset(now, group, group.circuits[cic])
         blocked = [
-            cic in group.circuits and group.circuits[cic].near_blocked
+            cic in group.circuits and group.circuits[cic].locally_blocked
             for cic in range(message.cic, message.cic + count)
         ]
         octets = isup.encode_range_status(count, blocked)
-        self.server.send(group.there, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
+        self.server.send(group.peer_code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
 
-    def gra(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
-        due = self.resets.pop((group.there, message.cic), None)
-        if due is None:
+    def handle_gra(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles the acknowledgement of a GRS; its status bits name the circuits the far end blocks."""
+        timer = self.pending_resets.pop((group.peer_code, message.cic), None)
+        if timer is None:
             return
-        due.cancel()
+        timer.cancel()
         count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
-        for at in range(count):
-            circuit = group.circuits.get(message.cic + at)
+        for offset in range(count):
+            circuit = group.circuits.get(message.cic + offset)
             if circuit is not None and circuit.state is CircuitState.RESETTING:
                 group.set_state(circuit, CircuitState.IDLE)
-                group.set_blocked(circuit, remote=at < len(status) and status[at])
+                group.set_blocked(circuit, remote=offset < len(status) and status[offset])
 
-    def block(self, now: float, group: TrunkGroup, cic: int, kind: int) -> None:
-        """BLO or UBL of one circuit, repeated until it is acknowledged."""
+    def send_blocking(self, now: float, group: TrunkGroup, cic: int, kind: int) -> None:
+        """Sends BLO or UBL (`kind`) for one circuit and repeats it until acknowledged."""
         group.set_blocked(group.circuits[cic], local=kind == isup.BLO)
-        self.server.send(group.there, IsupMessage(cic, kind))
-        key = (group.there, cic, kind)
-        # An unacknowledged BLO must not block once more after an operator's UBL, nor the other way round.
-        for one in (isup.BLO, isup.UBL):
-            waiting = self.blocks.pop((group.there, cic, one), None)
-            if waiting is not None:
-                waiting.cancel()
-        self.blocks[key] = self.server.timers.schedule(
-            now + self.server.timer_settings.t12, self.block, group, cic, kind
+        self.server.send(group.peer_code, IsupMessage(cic, kind))
+        key = (group.peer_code, cic, kind)
+        # A repeated BLO must not undo a later UBL, nor a repeated UBL a later BLO.
+        for message_type in (isup.BLO, isup.UBL):
+            timer = self.pending_blockings.pop((group.peer_code, cic, message_type), None)
+            if timer is not None:
+                timer.cancel()
+        self.pending_blockings[key] = self.server.timers.schedule(
+            now + self.server.timer_settings.t12, self.send_blocking, group, cic, kind
         )
 
     def block_all(self, now: float, group: TrunkGroup) -> None:
+        """Blocks every circuit of the group at this end."""
         for circuit in group.circuits.values():
             group.set_blocked(circuit, local=True)
-        for first, count in runs(list(group.circuits)):
-            self.block_range(now, group, first, count)
+        for first, count in contiguous_ranges(list(group.circuits)):
+            self.send_group_blocking(now, group, first, count)
 
-    def block_range(self, now: float, group: TrunkGroup, first: int, count: int) -> None:
-        if group.there not in self.server.links:
+    def send_group_blocking(self, now: float, group: TrunkGroup, first: int, count: int) -> None:
+        """Sends CGB (BLO for one circuit) and repeats it until acknowledged."""
+        if group.peer_code not in self.server.links:
             return
         if count == 1:
-            self.block(now, group, first, isup.BLO)
+            self.send_blocking(now, group, first, isup.BLO)
             return
         octets = isup.encode_range_status(count, [True] * count)
-        given = {isup.GROUP_SUPERVISION: isup.MAINTENANCE_ORIENTED, isup.RANGE_STATUS: octets}
-        self.server.send(group.there, IsupMessage(first, isup.CGB, given))
-        key = (group.there, first, isup.CGB)
-        self.blocks[key] = self.server.timers.schedule(
-            now + self.server.timer_settings.t12, self.block_range, group, first, count
+        parameters = {isup.GROUP_SUPERVISION: isup.MAINTENANCE_ORIENTED, isup.RANGE_STATUS: octets}
+        self.server.send(group.peer_code, IsupMessage(first, isup.CGB, parameters))
+        key = (group.peer_code, first, isup.CGB)
+        self.pending_blockings[key] = self.server.timers.schedule(
+            now + self.server.timer_settings.t12, self.send_group_blocking, group, first, count
         )
 
-    def blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
-        on = message.type == isup.BLO
+    def handle_blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles BLO and UBL."""
+        blocked = message.type == isup.BLO
         circuit = group.circuits[message.cic]
-        group.set_blocked(circuit, remote=on)
-        self.server.send(group.there, IsupMessage(message.cic, isup.BLA if on else isup.UBA))
-        self.seized_meanwhile(now, circuit)
+        group.set_blocked(circuit, remote=blocked)
+        self.server.send(group.peer_code, IsupMessage(message.cic, isup.BLA if blocked else isup.UBA))
+        self.abandon_blocked_set_up(now, circuit)
+
+    def abandon_blocked_set_up(self, now: float, circuit: Circuit) -> None:
+        """Gives up a set-up whose circuit is blocked before it was answered (Q.764, 2.8.2.1).
 
-    def seized_meanwhile(self, now: float, circuit: Circuit) -> None:
-        """A set-up that met a blocking without an answer yet is given up and goes another way (2.8.2.1)."""
+        The controller may then try another route.
+        """
         leg = circuit.leg
         if (
-            circuit.far_blocked
+            circuit.remotely_blocked
             and circuit.state is CircuitState.SEIZED
             and leg is not None
             and leg.call is not None
         ):
             call = leg.call
-            if call.local:
-                self.server.release(now, leg, causes.NORMAL_CLEARING)
-                call.out = None
-                self.server.final(now, call, causes.DESTINATION_OUT_OF_ORDER)
-            elif call.stage is Stage.PENDING:
-                call.cause, call.source = causes.NO_CIRCUIT, 0
-                self.server.attempt_over(now, call, causes.NORMAL_CLEARING, i.Result.CANCELLED)
-
-    def group_blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
-        on = message.type == isup.CGB
+            if call.terminates_here:
+                self.server.release_leg(now, leg, causes.NORMAL_CLEARING)
+                call.outgoing_leg = None
+                self.server.reject_call(now, call, causes.DESTINATION_OUT_OF_ORDER)
+            elif call.stage is CallStage.PENDING:
+                call.cause, call.cause_source = causes.NO_CIRCUIT, 0
+                self.server.end_attempt(now, call, causes.NORMAL_CLEARING, interface.Result.CANCELLED)
+
+    def handle_group_blocking(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles CGB and CGU."""
+        blocked = message.type == isup.CGB
         count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
-        for at in range(count):
-            circuit = group.circuits.get(message.cic + at)
-            if circuit is not None and at < len(status) and status[at]:
-                group.set_blocked(circuit, remote=on)
-                self.seized_meanwhile(now, circuit)
-        kind = isup.CGBA if on else isup.CGUA
-        self.server.send(group.there, IsupMessage(message.cic, kind, dict(message.parameters)))
-
-    def blocked(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        for offset in range(count):
+            circuit = group.circuits.get(message.cic + offset)
+            if circuit is not None and offset < len(status) and status[offset]:
+                group.set_blocked(circuit, remote=blocked)
+                self.abandon_blocked_set_up(now, circuit)
+        kind = isup.CGBA if blocked else isup.CGUA
+        self.server.send(group.peer_code, IsupMessage(message.cic, kind, dict(message.parameters)))
+
+    def handle_blocking_ack(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles BLA, UBA, CGBA and CGUA: the blocking is no longer repeated."""
         kind = {isup.BLA: isup.BLO, isup.UBA: isup.UBL, isup.CGBA: isup.CGB, isup.CGUA: isup.CGU}[
             message.type
         ]
-        due = self.blocks.pop((group.there, message.cic, kind), None)
-        if due is not None:
-            due.cancel()
+        timer = self.pending_blockings.pop((group.peer_code, message.cic, kind), None)
+        if timer is not None:
+            timer.cancel()
 
-    def unequipped(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
-        """UCIC: the far end does not know this circuit; it is taken out of service and the call goes on."""
+    def handle_ucic(self, now: float, group: TrunkGroup, message: IsupMessage) -> None:
+        """Handles UCIC: takes the circuit, unknown at the far end, out of service; its attempt never ran."""
         circuit = group.circuits[message.cic]
-        self.server.note("circuit not equipped", group=group.name, cic=message.cic)
+        self.server.log_event("circuit not equipped", group=group.name, cic=message.cic)
         leg = circuit.leg
         group.set_blocked(circuit, remote=True)
         if leg is not None and leg.call is not None and circuit.state is CircuitState.SEIZED:
             call = leg.call
-            self.server.free(leg)
+            self.server.free_leg(leg)
             leg.call = None
-            if call.local:
-                call.out = None
-                self.server.final(now, call, causes.NO_CIRCUIT)
+            if call.terminates_here:
+                call.outgoing_leg = None
+                self.server.reject_call(now, call, causes.NO_CIRCUIT)
             else:
-                self.server.attempt_over(now, call, 0, i.Result.MOOT, i.Note.NO_CIRCUIT)
+                self.server.end_attempt(now, call, 0, interface.Result.MOOT, interface.Note.NO_CIRCUIT)
--- a/ospreybridge/core/timers.py
+++ b/ospreybridge/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the core: a heap of due times. Nothing here reads a clock; time is handed in."""
+"""Timers of the core: a heap of due times. No clock is read here; the caller passes the time in."""
 
 from __future__ import annotations
 
@@ -7,46 +7,51 @@
 from itertools import count
 from typing import Any
 
-from ospreybridge.core.lateness import Lateness
+from ospreybridge.core.lateness import LatenessTracker
 
 
 class ScheduledTimer:
-    """One armed timer. `cancel` is cheap: the heap forgets it when its time comes."""
+    """One armed timer. `cancel` is cheap: the entry is removed from the heap only when it falls due."""
 
-    __slots__ = ("args", "call")
+    __slots__ = ("args", "callback")
 
-    def __init__(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        self.call: Callable[..., None] | None = call
+    def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback
         self.args = args
 
     def cancel(self) -> None:
-        self.call, self.args = None, ()
+        """Prevents the call; has no effect once it was made."""
+        self.callback, self.args = None, ()
 
 
 class TimerQueue:
+    """All timers of one event loop, and how late they run."""
+
     def __init__(self) -> None:
-        self.lateness = Lateness()
+        self.lateness = LatenessTracker()
         self.heap: list[tuple[float, int, ScheduledTimer]] = []
-        self.order = count()  # timers of one moment run in the order in which they were armed
+        self.sequence = count()  # timers due at the same time run in the order in which they were armed
 
-    def schedule(self, when: float, call: Callable[..., None], *args: Any) -> ScheduledTimer:
-        """`call(now, *args)` at `when`, in milliseconds of the clock that `run` is given."""
-        due = ScheduledTimer(call, args)
-        heapq.heappush(self.heap, (when, next(self.order), due))
-        return due
+    def schedule(self, when: float, callback: Callable[..., None], *args: Any) -> ScheduledTimer:
+        """Calls `callback(now, *args)` at `when`, in ms of the clock whose time `run_due` is given."""
+        timer = ScheduledTimer(callback, args)
+        heapq.heappush(self.heap, (when, next(self.sequence), timer))
+        return timer
 
     def next_due(self) -> float | None:
-        while self.heap and self.heap[0][2].call is None:
+        """Time of the next timer; None if there is none."""
+        while self.heap and self.heap[0][2].callback is None:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
     def run_due(self, now: float) -> None:
+        """Runs the timers that are due."""
         heap = self.heap
         if heap and heap[0][0] < now:
-            self.lateness.saw(now, now - heap[0][0])
+            self.lateness.record(now, now - heap[0][0])
         while heap and heap[0][0] <= now:
-            due = heapq.heappop(heap)[2]
-            if due.call is not None:
-                call, args = due.call, due.args
-                due.call = None
-                call(now, *args)
+            timer = heapq.heappop(heap)[2]
+            if timer.callback is not None:
+                callback, args = timer.callback, timer.args
+                timer.callback = None
+                callback(now, *args)
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ospreybridge.core.circuits import CircuitState, TrunkGroup, runs
+from ospreybridge.core.circuits import CircuitState, TrunkGroup, contiguous_ranges
 from ospreybridge.interface import Action, Event, Request
 from ospreybridge.lab.harness import ACM, CALLERS, CENTRE, OFFICE, Harness, iam, rel, server
 from ospreybridge.settings.server import Peer
@@ -26,7 +26,7 @@
     return harness
 
 
-def one(h: Harness, point_code: int, kind: int) -> IsupMessage:
+def take_one(h: Harness, point_code: int, kind: int) -> IsupMessage:
     found = [message for message in h.take(point_code) if message.type == kind]
     assert len(found) == 1, f"{isup.NAMES[kind]}: {[m.name for m in found]}"
     return found[0]
@@ -34,15 +34,15 @@
 
 def test_a_call_goes_direct_stands_and_is_released_with_every_circuit_back(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", left=3_000))
-    out = one(h, 2, isup.IAM)
+    out = take_one(h, 2, isup.IAM)
     assert isup.decode_called_number(out.parameters[isup.CALLED_NUMBER]) == "370020001"
     assert h.core.groups[2].free == 3
     h.give(2, IsupMessage(out.cic, isup.ACM, ACM))
     h.give(2, IsupMessage(out.cic, isup.ANM))
     assert [m.type for m in h.take(CALLERS)] == [isup.ACM, isup.ANM]
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
-    one(h, CALLERS, isup.RLC)
-    one(h, 2, isup.REL)
+    take_one(h, CALLERS, isup.RLC)
+    take_one(h, 2, isup.REL)
     assert h.core.groups[2].free == 3  # taken until RLC
     h.give(2, IsupMessage(out.cic, isup.RLC))
     assert h.core.groups[2].free == 4 and not h.core.calls
@@ -56,7 +56,7 @@
         h.give(2, IsupMessage(cic, isup.BLO))
     h.take(2)
     h.give(CALLERS, iam(5, "370020001", width=2))
-    out = one(h, 2, isup.IAM)
+    out = take_one(h, 2, isup.IAM)
     assert out.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
     assert isup.decode_circuit_map(out.cic, out.parameters[isup.CIRCUIT_ASSIGNMENT_MAP]) == (2, 4)
     assert h.core.groups[2].free == 0
@@ -68,17 +68,17 @@
     h.give(3, IsupMessage(1, isup.BLO))
     h.take(2)
     h.give(CALLERS, iam(1, "370020001"))
-    assert one(h, 4, isup.IAM) and not h.take(2)
+    assert take_one(h, 4, isup.IAM) and not h.take(2)
 
 
 def test_an_unallocated_number_and_a_bad_circuit_are_told_at_once(h: Harness) -> None:
     h.give(CALLERS, iam(1, "99"))
     assert (
-        isup.decode_cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        isup.decode_cause(take_one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.UNALLOCATED_NUMBER
     )
     h.give(2, iam(9, "370010001"))
-    one(h, 2, isup.UCIC)
+    take_one(h, 2, isup.UCIC)
 
 
 def test_a_refusal_says_when_to_come_back_and_its_congestion_level() -> None:
@@ -96,7 +96,7 @@
     h.give(CALLERS, iam(1, "370020001"))
     h.advance(8_995)
     assert len([m for m in h.take(2) if m.type == isup.IAM]) <= 4
-    answer = one(h, CALLERS, isup.REL)
+    answer = take_one(h, CALLERS, isup.REL)
     assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.CONGESTION
     assert answer.parameters[isup.CONGESTION_LEVEL] == b"\2"
     assert 0 < isup.decode_user_words(answer.parameters[isup.USER_TO_USER])["retry"] <= 2_000
@@ -120,18 +120,22 @@
     assert h.core.counts["dual seizure won"] == len(own)
     assert len([m for m in h.take(OFFICE) if m.type == isup.IAM]) == len(lost)  # the winners' calls go on
     for call in h.core.calls.values():
-        assert call.out is None or call.out.call is call
+        assert call.outgoing_leg is None or call.outgoing_leg.call is call
     h.advance(20)
-    outs = [call.out for call in h.core.calls.values() if call.out is not None and not call.local]
+    outs = [
+        call.outgoing_leg
+        for call in h.core.calls.values()
+        if call.outgoing_leg is not None and not call.terminates_here
+    ]
     assert len({leg.cics for leg in outs}) == len(outs)
 
 
 def test_an_answer_after_the_caller_gave_up_changes_nothing(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
-    out = one(h, 2, isup.IAM)
+    out = take_one(h, 2, isup.IAM)
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     assert [m.type for m in h.take(CALLERS)] == [isup.RLC]
-    one(h, 2, isup.REL)
+    take_one(h, 2, isup.REL)
     h.give(2, IsupMessage(out.cic, isup.ACM, ACM))  # crosses our REL
     h.give(2, IsupMessage(out.cic, isup.ANM))
     assert not h.take(CALLERS) and not h.core.calls
@@ -142,7 +146,7 @@
 def test_a_caller_who_gives_up_in_the_moment_of_the_answer_gets_one_of_the_two(h: Harness) -> None:
     for first in ("answer", "release"):
         h.give(CALLERS, iam(1, "370020001"))
-        out = one(h, 2, isup.IAM)
+        out = take_one(h, 2, isup.IAM)
         steps = [
             (2, IsupMessage(out.cic, isup.ACM, ACM)),
             (CALLERS, rel(1, causes.NORMAL_CLEARING)),
@@ -151,14 +155,14 @@
             h.give(code, message)
         sent = [m.type for m in h.take(CALLERS)]
         assert sent == ([isup.ACM, isup.RLC] if first == "answer" else [isup.RLC])
-        one(h, 2, isup.REL)
+        take_one(h, 2, isup.REL)
         h.give(2, IsupMessage(out.cic, isup.RLC))
         assert h.core.groups[2].free == 4 and not h.core.calls
 
 
 def test_a_time_out_releases_and_the_call_waits_for_the_release_time(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
-    one(h, 2, isup.IAM)
+    take_one(h, 2, isup.IAM)
     sent: list[tuple[float, int]] = []
     h.watch = lambda code, message: sent.append((h.now, code)) if message.type == isup.IAM else None
     begun = h.now
@@ -173,7 +177,7 @@
 
 def test_a_circuit_without_rlc_stays_taken_and_is_reset_by_its_timers(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
-    out = one(h, 2, isup.IAM)
+    out = take_one(h, 2, isup.IAM)
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     h.advance(299_000)
     kinds = [m.type for m in h.take(2)]
@@ -187,10 +191,10 @@
 
 def test_a_lost_association_ends_its_calls_and_is_reset_when_it_returns(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", "501"))
-    standing = one(h, 2, isup.IAM)
+    standing = take_one(h, 2, isup.IAM)
     h.give(2, IsupMessage(standing.cic, isup.ACM, ACM))
     h.give(CALLERS, iam(2, "370020001", "502"))
-    one(h, 2, isup.IAM)
+    take_one(h, 2, isup.IAM)
     h.take(CALLERS)
     h.core.link_down(h.now, 2, "dropped")
     assert h.core.groups[2].free == 0
@@ -200,7 +204,7 @@
     retried = [m for code in (3, 4) for m in h.take(code) if m.type == isup.IAM]
     assert len(retried) == 1 and h.now - begun >= 200  # the pending one goes another way, after the release
     h.core.link_up(h.now, 2, h.wires[2])
-    assert one(h, 2, isup.GRS).cic == 1 and h.core.groups[2].free == 0
+    assert take_one(h, 2, isup.GRS).cic == 1 and h.core.groups[2].free == 0
     h.give(
         2,
         IsupMessage(
@@ -212,15 +216,15 @@
 
 def test_blocking_by_either_side_is_exact(h: Harness) -> None:
     group = h.core.groups[2]
-    h.core.block(h.now, 2, 3, True)
-    one(h, 2, isup.BLO)
+    h.core.set_circuit_blocking(h.now, 2, 3, True)
+    take_one(h, 2, isup.BLO)
     h.give(2, IsupMessage(3, isup.BLA))
     octets = isup.encode_range_status(2, [True, False])
     h.give(2, IsupMessage(1, isup.CGB, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
-    one(h, 2, isup.CGBA)
+    take_one(h, 2, isup.CGBA)
     assert group.free == 2
     h.give(2, IsupMessage(3, isup.BLO))
-    h.core.block(h.now, 2, 3, False)
+    h.core.set_circuit_blocking(h.now, 2, 3, False)
     assert group.free == 2  # still blocked by the far end
     h.give(2, IsupMessage(3, isup.UBL))
     h.give(2, IsupMessage(1, isup.CGU, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
@@ -229,11 +233,11 @@
 
 def test_a_transit_call_goes_on_or_is_turned_back_at_once(h: Harness) -> None:
     h.give(2, iam(1, "370030001", left=2_000))
-    assert one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
+    assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     for cic in range(1, 5):
         h.give(4, IsupMessage(cic, isup.BLO))
     h.give(2, iam(2, "370040001", left=2_000))
-    answer = one(h, 2, isup.REL)
+    answer = take_one(h, 2, isup.REL)
     assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.NO_CIRCUIT
     assert isup.decode_point_code(answer.parameters[isup.SIGNALLING_POINT_CODE]) == 1
 
@@ -243,7 +247,7 @@
     h.advance(300)
     h.give(CALLERS, iam(1, "370020001"))
     assert (
-        isup.decode_cause(one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        isup.decode_cause(take_one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.DESTINATION_OUT_OF_ORDER
     )
     assert not [m for code in (2, 3, 4) for m in h.take(code) if m.type == isup.IAM]
@@ -251,7 +255,7 @@
 
 def test_stopping_tells_the_peers_answers_what_is_pending_and_clears(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", "501"))
-    out = one(h, 2, isup.IAM)
+    out = take_one(h, 2, isup.IAM)
     h.core.stop(h.now)
     assert [m.type for m in h.take(3)] == [isup.CGB]
     h.give(CALLERS, iam(2, "370020001", "502"))  # its IAM crossed the blocking
@@ -284,7 +288,7 @@
             ended = standing.pop(0)
             h.give(CALLERS, rel(ended, causes.NORMAL_CLEARING))
         for code in (2, 3, 4):
-            known = h.core.module.offices[code].free
+            known = h.core.controller.offices[code].free
             assert known == h.core.groups[code].free, f"exchange {code} after {serial} calls"
 
 
@@ -297,8 +301,8 @@
         for shift in range(-width + 1, width):
             other = tuple(c + shift for c in mine)
             if min(other) > 0:
-                assert low.yields(mine, other) != high.yields(other, mine)
-    assert low.yields((1,), (1, 2)) and not low.yields((1, 2), (2,))
+                assert low.loses_dual_seizure(mine, other) != high.loses_dual_seizure(other, mine)
+    assert low.loses_dual_seizure((1,), (1, 2)) and not low.loses_dual_seizure((1, 2), (2,))
 
 
 def test_selection_prefers_our_own_longest_idle_circuits() -> None:
@@ -308,10 +312,10 @@
     assert [group.select(1), group.select(2)] == [(1,), (1, 2)]
     group.set_state(group.circuits[1], CircuitState.SEIZED)
     assert group.select(1) == (3,) and group.free == 3
-    assert runs([1, 2, 3, 7, *range(33, 70)]) == [(1, 3), (7, 1), (33, 32), (65, 5)]
+    assert contiguous_ranges([1, 2, 3, 7, *range(33, 70)]) == [(1, 3), (7, 1), (33, 32), (65, 5)]
 
 
-def told(h: Harness, point_code: int, subsystem: int, body: bytes) -> None:
+def send_unit(h: Harness, point_code: int, subsystem: int, body: bytes) -> None:
     unit = sccp.encode(subsystem, body)
     h.core.receive_data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
 
@@ -324,7 +328,7 @@
     h.ready()
     for cic in (1, 2, 3, 4):
         h.give(2, IsupMessage(cic, isup.BLO))  # nothing goes direct to exchange 2
-    told(
+    send_unit(
         h, 3, sccp.PEER_SUBSYSTEM, b"\3\0" + (1 << 2).to_bytes(1, "little")
     )  # nothing goes on from 3 to 2 either
     h.take(3)
@@ -334,16 +338,16 @@
     assert not [m for m in h.take(3) if m.type == isup.IAM]
     assert len([m for m in h.take(4) if m.type == isup.IAM]) >= 1
     seen: list[int] = []
-    handle = h.core.module.handle
+    handle = h.core.controller.handle
 
     def watched(now: float, event: Event) -> list[Action]:
         if isinstance(event, Request):
             seen.append(event.via)
         return handle(now, event)
 
-    h.core.module.handle = watched  # type: ignore[method-assign]
-    told(h, CENTRE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
-    told(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # only the centre advises
+    h.core.controller.handle = watched  # type: ignore[method-assign]
+    send_unit(h, CENTRE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
+    send_unit(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # only the centre advises
     h.give(CALLERS, iam(7, "370020001", "507"))
     h.give(CALLERS, iam(8, "370030001", "508"))
     assert seen == [4, -1]
@@ -377,19 +381,19 @@
     message = iam(1, "370030001")
     message.parameters |= {isup.HOP_COUNTER: b"", isup.USER_TO_USER: b"", isup.SIGNALLING_POINT_CODE: b""}
     h.give(2, message)
-    assert one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
+    assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     circling = iam(2, "370030001")
     circling.parameters[isup.HOP_COUNTER] = b"\0"
     h.give(2, circling)
     assert (
-        isup.decode_cause(one(h, 2, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        isup.decode_cause(take_one(h, 2, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.EXCHANGE_ROUTING_ERROR
     )
 
 
 def test_a_blocking_taken_back_before_its_acknowledgement_is_not_repeated(h: Harness) -> None:
-    h.core.block(h.now, 2, 3, True)
-    h.core.block(h.now, 2, 3, False)
+    h.core.set_circuit_blocking(h.now, 2, 3, True)
+    h.core.set_circuit_blocking(h.now, 2, 3, False)
     h.take(2)
     h.advance(40_000)
     assert {m.type for m in h.take(2)} == {isup.UBL} and h.core.groups[2].free == 4
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,9 +10,9 @@
 import pytest
 
 from ospreybridge.core import outcomes
-from ospreybridge.core.association import MOST_ERRORS, AspState, Association
-from ospreybridge.core.exchange_list import Roster, format_info
-from ospreybridge.core.lateness import Lateness
+from ospreybridge.core.association import MAX_CONSECUTIVE_ERRORS, AspState, Association
+from ospreybridge.core.exchange_list import ExchangeList, format_info
+from ospreybridge.core.lateness import LatenessTracker
 from ospreybridge.core.timers import TimerQueue
 from ospreybridge.interface import ListForm, Members, Note, Readiness, Result
 from ospreybridge.net.loop import READ, EventLoop, Task
@@ -20,43 +20,43 @@
 from ospreybridge.signalling import causes, m3ua
 
 
-def roster() -> Roster:
-    return Roster({1: (1, 0), 2: (2, 0), 3: (3, 1)})
+def roster() -> ExchangeList:
+    return ExchangeList({1: (1, 0), 2: (2, 0), 3: (3, 1)})
 
 
 def test_the_list_drops_what_is_old_repeated_or_strange() -> None:
     r = roster()
-    first = r.news(100.0, m3ua.DAVA, 2, format_info(5, 0, 0))
+    first = r.update(100.0, m3ua.DAVA, 2, format_info(5, 0, 0))
     assert first is not None and first.form is ListForm.DELTA and first.entries[0].exchange == 2
-    assert r.news(110.0, m3ua.DAVA, 2, format_info(5, 0, 0)) is None
-    assert r.news(120.0, m3ua.DRST, 2, format_info(4, 0, 0)) is None
-    assert r.news(130.0, m3ua.DAVA, 9, format_info(6, 0, 0)) is None and r.strange == 1
-    assert not r.barred(1_000.0, 2, 250.0)
+    assert r.update(110.0, m3ua.DAVA, 2, format_info(5, 0, 0)) is None
+    assert r.update(120.0, m3ua.DRST, 2, format_info(4, 0, 0)) is None
+    assert r.update(130.0, m3ua.DAVA, 9, format_info(6, 0, 0)) is None and r.unknown_count == 1
+    assert not r.is_barred(1_000.0, 2, 250.0)
 
 
 def test_a_start_told_again_is_the_same_start() -> None:
     r = roster()
-    one = r.news(10_000.0, m3ua.DAVA, 2, format_info(5, 1, 400))
+    one = r.update(10_000.0, m3ua.DAVA, 2, format_info(5, 1, 400))
     assert one is not None and one.entries[0].started_at == 9_600.0
-    again = r.news(12_000.0, m3ua.DAVA, 2, format_info(6, 1, 2_900))
+    again = r.update(12_000.0, m3ua.DAVA, 2, format_info(6, 1, 2_900))
     assert again is None or again.entries[0].started_at == 9_600.0
-    other = r.news(13_000.0, m3ua.DAVA, 2, format_info(7, 2, 100))
+    other = r.update(13_000.0, m3ua.DAVA, 2, format_info(7, 2, 100))
     assert other is not None and other.entries[0].started_at == 12_900.0
 
 
 def test_a_whole_list_replaces_what_is_not_in_it() -> None:
     r = roster()
-    r.news(0.0, m3ua.DAVA, 3, format_info(1, 0, 0))
-    assert r.news(10.0, m3ua.DAVA, 1, format_info(8, 0, 0, list_size=2)) is None
-    whole = r.news(11.0, m3ua.DRST, 2, format_info(8, 0, 0, list_size=2))
+    r.update(0.0, m3ua.DAVA, 3, format_info(1, 0, 0))
+    assert r.update(10.0, m3ua.DAVA, 1, format_info(8, 0, 0, list_size=2)) is None
+    whole = r.update(11.0, m3ua.DRST, 2, format_info(8, 0, 0, list_size=2))
     assert isinstance(whole, Members) and whole.form is ListForm.FULL
     assert {entry.office: entry.readiness for entry in whole.entries} == {
         1: Readiness.READY,
         2: Readiness.DRAINING,
     }
-    assert r.barred(300.0, 2, 250.0) and r.barred(300.0, 3, 250.0) and not r.barred(100.0, 2, 250.0)
-    assert r.news(20.0, m3ua.DAVA, 3, "of=3 garbage v=x") is None
-    assert r.news(30.0, m3ua.DAVA, 3, "v=\u00b2 start=\u00b2") is None  # a digit that is no number
+    assert r.is_barred(300.0, 2, 250.0) and r.is_barred(300.0, 3, 250.0) and not r.is_barred(100.0, 2, 250.0)
+    assert r.update(20.0, m3ua.DAVA, 3, "of=3 garbage v=x") is None
+    assert r.update(30.0, m3ua.DAVA, 3, "v=\u00b2 start=\u00b2") is None  # a digit that is no number
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
 def test_what_a_release_means(
     cause: int, source: int, direct: bool, wait: float, expected: tuple[Result, Note, float]
 ) -> None:
-    assert outcomes.of_release(cause, source, 7, direct, wait) == expected
+    assert outcomes.outcome_of_release(cause, source, 7, direct, wait) == expected
 
 
 def test_timers_run_in_order_once_and_not_when_cancelled() -> None:
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class Told:
+class RecordingOwner:
     """An owner that notes what the association tells."""
 
     events: list[str] = field(default_factory=list)
@@ -130,7 +130,7 @@
     """The dialling and the dialled side, joined by hand; frames may be held back."""
 
     def __init__(self) -> None:
-        self.near, self.far = Told(), Told()
+        self.near, self.far = RecordingOwner(), RecordingOwner()
         self.wire: list[tuple[str, bytes]] = []
         a, b = Peer("a", "exchange", 1, 9), Peer("b", "exchange", 2, 9, dial_address=("h", 1))
         self.client = Association(self.near, lambda f: self.wire.append(("far", f)), 1, 2, {}, b)
@@ -164,7 +164,7 @@
 def test_traffic_before_its_time_is_an_error_and_too_many_errors_are_an_end() -> None:
     pair = Pair()
     early = m3ua.encode_data(m3ua.Data(1, 2, 5, 2, 0, 0, b"\1\0\x10\0", 9))
-    for _ in range(MOST_ERRORS):
+    for _ in range(MAX_CONSECUTIVE_ERRORS):
         pair.server.receive(early)
     assert pair.far.events == ["end"]
     errors = [m3ua.decode(frame) for _, frame in pair.wire]
@@ -201,10 +201,10 @@
 
 
 def test_the_margin_follows_lateness_within_its_bounds() -> None:
-    lateness = Lateness()
+    lateness = LatenessTracker()
     assert lateness.margin(0.0, 9_000.0, 100.0) == 100.0
     assert lateness.margin(0.0, 300.0, 100.0) == 30.0
-    lateness.saw(1_000.0, 200.0)
+    lateness.record(1_000.0, 200.0)
     assert lateness.margin(1_000.0, 9_000.0, 100.0) == 400.0
     assert lateness.margin(6_000.0, 9_000.0, 100.0) == pytest.approx(200.0)
     assert lateness.margin(60_000.0, 9_000.0, 100.0) == 100.0
@@ -214,7 +214,7 @@
     pair = Pair()
     pair.client.open()
     pair.run()
-    for _ in range(3 * MOST_ERRORS):
+    for _ in range(3 * MAX_CONSECUTIVE_ERRORS):
         pair.server.receive(m3ua.encode((9, 9)))
         pair.client.send_heartbeat(lambda answered: None)
         pair.run()
