--- a/ospreybridge/core/callserver.py
+++ b/ospreybridge/core/callserver.py
@@ -201,7 +201,7 @@
             self.counts["other service"] += 1
 
     def _send_confusion(self, point_code: int, body: bytes) -> None:
-        """Answers an unreadable or unknown message with CFN; no call is released because of it."""
+        """Answers an unreadable or unknown message with CFN; it is not ignored and releases no call."""
         if len(body) >= 3 and body[2] != isup.CFN:
             indicators = (
                 isup.encode_cause(causes.UNKNOWN_MESSAGE_TYPE, causes.LOCATION_LOCAL_NETWORK) + body[2:3]
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -1,4 +1,4 @@
-"""Circuits and calls without sockets: dual seizure, blocking, resets, late answers, one attempt at a time."""
+"""Calls and circuits without sockets: dual seizure, blocking, resets, late answers, one attempt at a time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ospreybridge.signalling import causes, isup, m3ua, sccp
 from ospreybridge.signalling.isup import IsupMessage
 
-Data = Callable[[int, int, bytes], None]
+SendData = Callable[[int, int, bytes], None]
 
 
 @pytest.fixture
@@ -32,23 +32,23 @@
     return found[0]
 
 
-def test_a_call_goes_direct_stands_and_is_released_with_every_circuit_back(h: Harness) -> None:
+def test_a_direct_call_is_established_and_released_and_frees_every_circuit(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", left=3_000))
-    out = take_one(h, 2, isup.IAM)
-    assert isup.decode_called_number(out.parameters[isup.CALLED_NUMBER]) == "370020001"
+    set_up = take_one(h, 2, isup.IAM)
+    assert isup.decode_called_number(set_up.parameters[isup.CALLED_NUMBER]) == "370020001"
     assert h.core.groups[2].free == 3
-    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))
-    h.give(2, IsupMessage(out.cic, isup.ANM))
+    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))
+    h.give(2, IsupMessage(set_up.cic, isup.ANM))
     assert [m.type for m in h.take(CALLERS)] == [isup.ACM, isup.ANM]
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     take_one(h, CALLERS, isup.RLC)
     take_one(h, 2, isup.REL)
     assert h.core.groups[2].free == 3  # taken until RLC
-    h.give(2, IsupMessage(out.cic, isup.RLC))
+    h.give(2, IsupMessage(set_up.cic, isup.RLC))
     assert h.core.groups[2].free == 4 and not h.core.calls
 
 
-def test_a_wide_call_takes_two_circuits_and_names_them_where_they_are_apart() -> None:
+def test_a_wide_call_takes_two_circuits_and_names_them_if_they_are_not_adjacent() -> None:
     h = Harness(server(3, circuits=4))
     h.up()
     h.ready()
@@ -56,13 +56,13 @@
         h.give(2, IsupMessage(cic, isup.BLO))
     h.take(2)
     h.give(CALLERS, iam(5, "370020001", width=2))
-    out = take_one(h, 2, isup.IAM)
-    assert out.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
-    assert isup.decode_circuit_map(out.cic, out.parameters[isup.CIRCUIT_ASSIGNMENT_MAP]) == (2, 4)
+    set_up = take_one(h, 2, isup.IAM)
+    assert set_up.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
+    assert isup.decode_circuit_map(set_up.cic, set_up.parameters[isup.CIRCUIT_ASSIGNMENT_MAP]) == (2, 4)
     assert h.core.groups[2].free == 0
 
 
-def test_full_groups_go_over_the_tandem_with_most_free_circuits(h: Harness) -> None:
+def test_a_full_group_overflows_to_the_tandem_with_most_free_circuits(h: Harness) -> None:
     for cic in (1, 2, 3, 4):
         h.give(2, IsupMessage(cic, isup.BLO))
     h.give(3, IsupMessage(1, isup.BLO))
@@ -71,7 +71,7 @@
     assert take_one(h, 4, isup.IAM) and not h.take(2)
 
 
-def test_an_unallocated_number_and_a_bad_circuit_are_told_at_once(h: Harness) -> None:
+def test_an_unallocated_number_and_an_unequipped_circuit_are_refused_at_once(h: Harness) -> None:
     h.give(CALLERS, iam(1, "99"))
     assert (
         isup.decode_cause(take_one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
@@ -81,18 +81,18 @@
     take_one(h, 2, isup.UCIC)
 
 
-def test_a_refusal_says_when_to_come_back_and_its_congestion_level() -> None:
+def test_a_refusal_carries_the_redial_delay_and_the_congestion_level() -> None:
     h = Harness(server(2, circuits=4))
     h.up()
     h.ready()
 
-    def full(code: int, message: IsupMessage) -> None:
+    def refuse(code: int, message: IsupMessage) -> None:
         if message.type == isup.IAM:
             h.timers.schedule(
                 h.now + 20, lambda now: h.give(2, rel(message.cic, causes.CONGESTION, retry=900))
             )
 
-    h.watch = full
+    h.watch = refuse
     h.give(CALLERS, iam(1, "370020001"))
     h.advance(8_995)
     assert len([m for m in h.take(2) if m.type == isup.IAM]) <= 4
@@ -103,52 +103,53 @@
 
 
 def test_dual_seizure_on_every_circuit_at_once_loses_no_call() -> None:
-    """Both ends seize all circuits of the group in the same moment; each call ends up on exactly one way."""
+    """Both ends seize all circuits of the group at the same time; each call ends up on exactly one route."""
     h = Harness(server(4, circuits=6, access=60))
     h.up()
     h.ready()
     for n in range(6):
         h.give(CALLERS, iam(1 + n, "370020001", f"50{n}"))
-    mine = [m for m in h.take(2) if m.type == isup.IAM]
-    assert len(mine) == 4 and h.core.groups[2].free == 2  # the window; two circuits are left
-    for cic in (m.cic for m in mine):
+    set_ups = [m for m in h.take(2) if m.type == isup.IAM]
+    assert len(set_ups) == 4 and h.core.groups[2].free == 2  # limited by the window; two circuits are left
+    for cic in (m.cic for m in set_ups):
         h.give(2, iam(cic, "370010001", f"60{cic}"))  # the far end's IAM crossed ours
-    own = [m.cic for m in mine if h.core.groups[2].controls(m.cic)]
-    lost = [m.cic for m in mine if m.cic not in own]
+    won = [m.cic for m in set_ups if h.core.groups[2].controls(m.cic)]
+    lost = [m.cic for m in set_ups if m.cic not in won]
     assert lost, "exchange 1 has the lower point code and controls the odd circuits"
     assert h.core.counts["dual seizure lost"] == len(lost)
-    assert h.core.counts["dual seizure won"] == len(own)
-    assert len([m for m in h.take(OFFICE) if m.type == isup.IAM]) == len(lost)  # the winners' calls go on
+    assert h.core.counts["dual seizure won"] == len(won)
+    # The far end's winning calls proceed to the own office.
+    assert len([m for m in h.take(OFFICE) if m.type == isup.IAM]) == len(lost)
     for call in h.core.calls.values():
         assert call.outgoing_leg is None or call.outgoing_leg.call is call
     h.advance(20)
-    outs = [
+    legs = [
         call.outgoing_leg
         for call in h.core.calls.values()
         if call.outgoing_leg is not None and not call.terminates_here
     ]
-    assert len({leg.cics for leg in outs}) == len(outs)
+    assert len({leg.cics for leg in legs}) == len(legs)
 
 
-def test_an_answer_after_the_caller_gave_up_changes_nothing(h: Harness) -> None:
+def test_an_answer_after_the_caller_released_changes_nothing(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
-    out = take_one(h, 2, isup.IAM)
+    set_up = take_one(h, 2, isup.IAM)
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     assert [m.type for m in h.take(CALLERS)] == [isup.RLC]
     take_one(h, 2, isup.REL)
-    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))  # crosses our REL
-    h.give(2, IsupMessage(out.cic, isup.ANM))
+    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))  # crosses our REL
+    h.give(2, IsupMessage(set_up.cic, isup.ANM))
     assert not h.take(CALLERS) and not h.core.calls
-    h.give(2, IsupMessage(out.cic, isup.RLC))
+    h.give(2, IsupMessage(set_up.cic, isup.RLC))
     assert h.core.groups[2].free == 4
 
 
-def test_a_caller_who_gives_up_in_the_moment_of_the_answer_gets_one_of_the_two(h: Harness) -> None:
+def test_a_caller_release_that_crosses_the_answer_yields_one_final_answer(h: Harness) -> None:
     for first in ("answer", "release"):
         h.give(CALLERS, iam(1, "370020001"))
-        out = take_one(h, 2, isup.IAM)
+        set_up = take_one(h, 2, isup.IAM)
         steps = [
-            (2, IsupMessage(out.cic, isup.ACM, ACM)),
+            (2, IsupMessage(set_up.cic, isup.ACM, ACM)),
             (CALLERS, rel(1, causes.NORMAL_CLEARING)),
         ]
         for code, message in steps if first == "answer" else reversed(steps):
@@ -156,11 +157,11 @@
         sent = [m.type for m in h.take(CALLERS)]
         assert sent == ([isup.ACM, isup.RLC] if first == "answer" else [isup.RLC])
         take_one(h, 2, isup.REL)
-        h.give(2, IsupMessage(out.cic, isup.RLC))
+        h.give(2, IsupMessage(set_up.cic, isup.RLC))
         assert h.core.groups[2].free == 4 and not h.core.calls
 
 
-def test_a_time_out_releases_and_the_call_waits_for_the_release_time(h: Harness) -> None:
+def test_a_timed_out_attempt_is_released_and_the_next_waits_for_the_release_time(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
     take_one(h, 2, isup.IAM)
     sent: list[tuple[float, int]] = []
@@ -175,34 +176,35 @@
     assert all(at >= begun + 2_000 + 200 for at, _ in sent)
 
 
-def test_a_circuit_without_rlc_stays_taken_and_is_reset_by_its_timers(h: Harness) -> None:
+def test_a_circuit_without_rlc_stays_taken_until_it_is_reset_by_timers(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001"))
-    out = take_one(h, 2, isup.IAM)
+    set_up = take_one(h, 2, isup.IAM)
     h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
     h.advance(299_000)
     kinds = [m.type for m in h.take(2)]
     assert kinds.count(isup.REL) == 20 and isup.RSC not in kinds  # T1 every 15 s
     h.advance(20_000)
     resets = [m.cic for m in h.take(2) if m.type == isup.RSC]
-    assert resets == [out.cic] * 2 and h.core.groups[2].free == 3  # RSC is repeated by T16
-    h.give(2, IsupMessage(out.cic, isup.RLC))
+    assert resets == [set_up.cic] * 2 and h.core.groups[2].free == 3  # RSC is repeated by T16
+    h.give(2, IsupMessage(set_up.cic, isup.RLC))
     assert h.core.groups[2].free == 4
 
 
-def test_a_lost_association_ends_its_calls_and_is_reset_when_it_returns(h: Harness) -> None:
+def test_a_lost_link_ends_its_calls_and_its_circuits_are_reset_when_it_returns(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", "501"))
-    standing = take_one(h, 2, isup.IAM)
-    h.give(2, IsupMessage(standing.cic, isup.ACM, ACM))
+    established = take_one(h, 2, isup.IAM)
+    h.give(2, IsupMessage(established.cic, isup.ACM, ACM))
     h.give(CALLERS, iam(2, "370020001", "502"))
     take_one(h, 2, isup.IAM)
     h.take(CALLERS)
     h.core.link_down(h.now, 2, "dropped")
     assert h.core.groups[2].free == 0
-    assert [m.cic for m in h.take(CALLERS) if m.type == isup.REL] == [1]  # the standing one was cut
+    assert [m.cic for m in h.take(CALLERS) if m.type == isup.REL] == [1]  # the established call was cut
     begun = h.now
     h.advance(300)
     retried = [m for code in (3, 4) for m in h.take(code) if m.type == isup.IAM]
-    assert len(retried) == 1 and h.now - begun >= 200  # the pending one goes another way, after the release
+    # The pending call is tried on another route, after the release time.
+    assert len(retried) == 1 and h.now - begun >= 200
     h.core.link_up(h.now, 2, h.wires[2])
     assert take_one(h, 2, isup.GRS).cic == 1 and h.core.groups[2].free == 0
     h.give(
@@ -214,7 +216,7 @@
     assert h.core.groups[2].free == 3  # one is blocked at the far end
 
 
-def test_blocking_by_either_side_is_exact(h: Harness) -> None:
+def test_blocking_by_either_end_keeps_the_free_count_exact(h: Harness) -> None:
     group = h.core.groups[2]
     h.core.set_circuit_blocking(h.now, 2, 3, True)
     take_one(h, 2, isup.BLO)
@@ -231,7 +233,7 @@
     assert group.free == 4
 
 
-def test_a_transit_call_goes_on_or_is_turned_back_at_once(h: Harness) -> None:
+def test_a_transit_call_is_forwarded_or_turned_back_at_once(h: Harness) -> None:
     h.give(2, iam(1, "370030001", left=2_000))
     assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     for cic in range(1, 5):
@@ -242,7 +244,7 @@
     assert isup.decode_point_code(answer.parameters[isup.SIGNALLING_POINT_CODE]) == 1
 
 
-def test_a_drained_exchange_gets_nothing_new(h: Harness) -> None:
+def test_a_draining_exchange_gets_no_new_calls(h: Harness) -> None:
     h.ready(2, m3ua.DRST, 2)
     h.advance(300)
     h.give(CALLERS, iam(1, "370020001"))
@@ -253,25 +255,25 @@
     assert not [m for code in (2, 3, 4) for m in h.take(code) if m.type == isup.IAM]
 
 
-def test_stopping_tells_the_peers_answers_what_is_pending_and_clears(h: Harness) -> None:
+def test_stopping_blocks_the_groups_answers_pending_calls_and_clears_the_rest(h: Harness) -> None:
     h.give(CALLERS, iam(1, "370020001", "501"))
-    out = take_one(h, 2, isup.IAM)
+    set_up = take_one(h, 2, isup.IAM)
     h.core.stop(h.now)
     assert [m.type for m in h.take(3)] == [isup.CGB]
     h.give(CALLERS, iam(2, "370020001", "502"))  # its IAM crossed the blocking
-    h.give(2, IsupMessage(out.cic, isup.ACM, ACM))
+    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))
     assert isup.ACM in [m.type for m in h.take(CALLERS)]
     h.core.release_all(h.now)
     assert isup.REL in [m.type for m in h.take(CALLERS)] and not h.core.calls
 
 
-def test_the_module_is_told_the_free_circuits_that_are(h: Harness) -> None:
-    """At every moment of a random run the module's figure and the group's are the same."""
+def test_the_controller_always_knows_the_exact_number_of_free_circuits(h: Harness) -> None:
+    """After every call of a random run the controller and the trunk groups have the same figures."""
     rng = random.Random(3)
-    standing: list[int] = []
+    busy_cics: list[int] = []
     for serial in range(300):
-        cic = rng.choice([c for c in range(1, 32) if c not in standing])
-        standing.append(cic)
+        cic = rng.choice([c for c in range(1, 32) if c not in busy_cics])
+        busy_cics.append(cic)
         h.give(CALLERS, iam(cic, f"3700{rng.choice((2, 3, 4))}0001", f"50{serial:05d}"))
         for code in (2, 3, 4):
             for message in h.take(code):
@@ -283,29 +285,31 @@
         for message in h.take(CALLERS):
             if message.type == isup.REL:
                 h.give(CALLERS, IsupMessage(message.cic, isup.RLC))
-                standing.remove(message.cic)
-        while len(standing) > 8:
-            ended = standing.pop(0)
+                busy_cics.remove(message.cic)
+        while len(busy_cics) > 8:
+            ended = busy_cics.pop(0)
             h.give(CALLERS, rel(ended, causes.NORMAL_CLEARING))
         for code in (2, 3, 4):
-            known = h.core.controller.offices[code].free
-            assert known == h.core.groups[code].free, f"exchange {code} after {serial} calls"
+            reported = h.core.controller.offices[code].free
+            assert reported == h.core.groups[code].free, f"exchange {code} after {serial} calls"
 
 
 @pytest.mark.parametrize("width", [1, 2])
-def test_both_ends_judge_a_dual_seizure_alike(width: int) -> None:
+def test_exactly_one_end_loses_a_dual_seizure(width: int) -> None:
     low = TrunkGroup("g", tuple(range(1, 16)), 1, 2, set())
     high = TrunkGroup("g", tuple(range(1, 16)), 2, 1, set())
     for cic in range(1, 14):
-        mine = tuple(range(cic, cic + width))
+        own_cics = tuple(range(cic, cic + width))
         for shift in range(-width + 1, width):
-            other = tuple(c + shift for c in mine)
-            if min(other) > 0:
-                assert low.loses_dual_seizure(mine, other) != high.loses_dual_seizure(other, mine)
+            peer_cics = tuple(c + shift for c in own_cics)
+            if min(peer_cics) > 0:
+                assert low.loses_dual_seizure(own_cics, peer_cics) != high.loses_dual_seizure(
+                    peer_cics, own_cics
+                )
     assert low.loses_dual_seizure((1,), (1, 2)) and not low.loses_dual_seizure((1, 2), (2,))
 
 
-def test_selection_prefers_our_own_longest_idle_circuits() -> None:
+def test_selection_prefers_the_longest_idle_circuits_this_end_controls() -> None:
     group = TrunkGroup("g", (1, 2, 3, 4), 1, 2, set())
     for circuit in group.circuits.values():
         group.set_state(circuit, CircuitState.IDLE)
@@ -320,54 +324,55 @@
     h.core.receive_data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
 
 
-def test_peer_messages_and_the_centre_s_advice_reach_the_module_over_the_wire() -> None:
+def test_peer_messages_and_the_centre_s_advice_reach_the_controller() -> None:
     settings = server(4, circuits=4)
     centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
     h = Harness(replace(settings, peers=(*settings.peers, centre), advice=True))
     h.up()
     h.ready()
     for cic in (1, 2, 3, 4):
-        h.give(2, IsupMessage(cic, isup.BLO))  # nothing goes direct to exchange 2
-    send_unit(
-        h, 3, sccp.PEER_SUBSYSTEM, b"\3\0" + (1 << 2).to_bytes(1, "little")
-    )  # nothing goes on from 3 to 2 either
+        h.give(2, IsupMessage(cic, isup.BLO))  # no direct circuit to exchange 2
+    # Exchange 3 reports that it cannot reach exchange 2 either.
+    send_unit(h, 3, sccp.PEER_SUBSYSTEM, b"\3\0" + (1 << 2).to_bytes(1, "little"))
     h.take(3)
     for serial in range(3):
         h.give(CALLERS, iam(1 + serial, "370020001", f"50{serial}"))
         h.advance(20)
     assert not [m for m in h.take(3) if m.type == isup.IAM]
     assert len([m for m in h.take(4) if m.type == isup.IAM]) >= 1
-    seen: list[int] = []
+    advised: list[int] = []
     handle = h.core.controller.handle
 
-    def watched(now: float, event: Event) -> list[Action]:
+    def recording(now: float, event: Event) -> list[Action]:
         if isinstance(event, Request):
-            seen.append(event.via)
+            advised.append(event.via)
         return handle(now, event)
 
-    h.core.controller.handle = watched  # type: ignore[method-assign]
+    h.core.controller.handle = recording  # type: ignore[method-assign]
     send_unit(h, CENTRE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
-    send_unit(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # only the centre advises
+    send_unit(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # ignored: only the centre may advise
     h.give(CALLERS, iam(7, "370020001", "507"))
     h.give(CALLERS, iam(8, "370030001", "508"))
-    assert seen == [4, -1]
+    assert advised == [4, -1]
 
 
-def test_the_servers_tell_each_other_and_the_centre_what_is_free() -> None:
+def test_servers_report_free_circuits_to_each_other_and_to_the_centre() -> None:
     settings = server(3, circuits=4)
     centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
     limits = replace(settings.limits, peer_messages=True)
     h = Harness(replace(settings, peers=(*settings.peers, centre), limits=limits))
     sent: list[tuple[int, int, bytes]] = []
     for code, wire in h.wires.items():
-        usual = wire.send_data
+        send_data = wire.send_data
 
-        def data(service: int, sls: int, body: bytes, code: int = code, usual: Data = usual) -> None:
+        def record(
+            service: int, sls: int, body: bytes, code: int = code, send_data: SendData = send_data
+        ) -> None:
             if service == m3ua.SI_SCCP:
                 sent.append((code, *sccp.decode(body)))
-            usual(service, sls, body)
+            send_data(service, sls, body)
 
-        wire.send_data = data  # type: ignore[method-assign]
+        wire.send_data = record  # type: ignore[method-assign]
     h.up()
     h.ready()
     h.advance(8_000)
@@ -377,21 +382,21 @@
     assert len(reports) >= 7 and reports[-1] == bytes((1, 2, 0, 4, 3, 0, 4))
 
 
-def test_an_empty_optional_parameter_is_as_good_as_none_and_leaks_no_call(h: Harness) -> None:
+def test_an_empty_optional_parameter_counts_as_absent_and_leaks_no_call(h: Harness) -> None:
     message = iam(1, "370030001")
     message.parameters |= {isup.HOP_COUNTER: b"", isup.USER_TO_USER: b"", isup.SIGNALLING_POINT_CODE: b""}
     h.give(2, message)
     assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
-    circling = iam(2, "370030001")
-    circling.parameters[isup.HOP_COUNTER] = b"\0"
-    h.give(2, circling)
+    looping = iam(2, "370030001")
+    looping.parameters[isup.HOP_COUNTER] = b"\0"
+    h.give(2, looping)
     assert (
         isup.decode_cause(take_one(h, 2, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.EXCHANGE_ROUTING_ERROR
     )
 
 
-def test_a_blocking_taken_back_before_its_acknowledgement_is_not_repeated(h: Harness) -> None:
+def test_a_blocking_removed_before_its_acknowledgement_is_not_repeated(h: Harness) -> None:
     h.core.set_circuit_blocking(h.now, 2, 3, True)
     h.core.set_circuit_blocking(h.now, 2, 3, False)
     h.take(2)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Small parts by themselves: the exchange list, outcomes, timers, circuits, the association's states."""
+"""Unit tests of the exchange list, outcomes, timers, circuit ranges, the association and the event loop."""
 
 from __future__ import annotations
 
@@ -20,43 +20,48 @@
 from ospreybridge.signalling import causes, m3ua
 
 
-def roster() -> ExchangeList:
+def exchange_list() -> ExchangeList:
     return ExchangeList({1: (1, 0), 2: (2, 0), 3: (3, 1)})
 
 
-def test_the_list_drops_what_is_old_repeated_or_strange() -> None:
-    r = roster()
-    first = r.update(100.0, m3ua.DAVA, 2, format_info(5, 0, 0))
+def test_the_list_ignores_old_repeated_and_unknown_entries() -> None:
+    known = exchange_list()
+    first = known.update(100.0, m3ua.DAVA, 2, format_info(5, 0, 0))
     assert first is not None and first.form is ListForm.DELTA and first.entries[0].exchange == 2
-    assert r.update(110.0, m3ua.DAVA, 2, format_info(5, 0, 0)) is None
-    assert r.update(120.0, m3ua.DRST, 2, format_info(4, 0, 0)) is None
-    assert r.update(130.0, m3ua.DAVA, 9, format_info(6, 0, 0)) is None and r.unknown_count == 1
-    assert not r.is_barred(1_000.0, 2, 250.0)
+    assert known.update(110.0, m3ua.DAVA, 2, format_info(5, 0, 0)) is None
+    assert known.update(120.0, m3ua.DRST, 2, format_info(4, 0, 0)) is None
+    assert known.update(130.0, m3ua.DAVA, 9, format_info(6, 0, 0)) is None and known.unknown_count == 1
+    assert not known.is_barred(1_000.0, 2, 250.0)
 
 
-def test_a_start_told_again_is_the_same_start() -> None:
-    r = roster()
-    one = r.update(10_000.0, m3ua.DAVA, 2, format_info(5, 1, 400))
-    assert one is not None and one.entries[0].started_at == 9_600.0
-    again = r.update(12_000.0, m3ua.DAVA, 2, format_info(6, 1, 2_900))
+def test_a_start_reported_again_is_the_same_start() -> None:
+    known = exchange_list()
+    first = known.update(10_000.0, m3ua.DAVA, 2, format_info(5, 1, 400))
+    assert first is not None and first.entries[0].started_at == 9_600.0
+    again = known.update(12_000.0, m3ua.DAVA, 2, format_info(6, 1, 2_900))
     assert again is None or again.entries[0].started_at == 9_600.0
-    other = r.update(13_000.0, m3ua.DAVA, 2, format_info(7, 2, 100))
+    other = known.update(13_000.0, m3ua.DAVA, 2, format_info(7, 2, 100))
     assert other is not None and other.entries[0].started_at == 12_900.0
 
 
-def test_a_whole_list_replaces_what_is_not_in_it() -> None:
-    r = roster()
-    r.update(0.0, m3ua.DAVA, 3, format_info(1, 0, 0))
-    assert r.update(10.0, m3ua.DAVA, 1, format_info(8, 0, 0, list_size=2)) is None
-    whole = r.update(11.0, m3ua.DRST, 2, format_info(8, 0, 0, list_size=2))
+def test_a_whole_list_removes_exchanges_that_are_not_in_it() -> None:
+    known = exchange_list()
+    known.update(0.0, m3ua.DAVA, 3, format_info(1, 0, 0))
+    assert known.update(10.0, m3ua.DAVA, 1, format_info(8, 0, 0, list_size=2)) is None
+    whole = known.update(11.0, m3ua.DRST, 2, format_info(8, 0, 0, list_size=2))
     assert isinstance(whole, Members) and whole.form is ListForm.FULL
     assert {entry.office: entry.readiness for entry in whole.entries} == {
         1: Readiness.READY,
         2: Readiness.DRAINING,
     }
-    assert r.is_barred(300.0, 2, 250.0) and r.is_barred(300.0, 3, 250.0) and not r.is_barred(100.0, 2, 250.0)
-    assert r.update(20.0, m3ua.DAVA, 3, "of=3 garbage v=x") is None
-    assert r.update(30.0, m3ua.DAVA, 3, "v=\u00b2 start=\u00b2") is None  # a digit that is no number
+    assert (
+        known.is_barred(300.0, 2, 250.0)
+        and known.is_barred(300.0, 3, 250.0)
+        and not known.is_barred(100.0, 2, 250.0)
+    )
+    assert known.update(20.0, m3ua.DAVA, 3, "of=3 garbage v=x") is None
+    # A superscript 2 passes str.isdigit but not int().
+    assert known.update(30.0, m3ua.DAVA, 3, "v=\u00b2 start=\u00b2") is None
 
 
 @pytest.mark.parametrize(
@@ -73,7 +78,7 @@
         (99, 2, True, 0.0, (Result.RESET, Note.NONE, 0.0)),
     ],
 )
-def test_what_a_release_means(
+def test_outcome_of_a_release(
     cause: int, source: int, direct: bool, wait: float, expected: tuple[Result, Note, float]
 ) -> None:
     assert outcomes.outcome_of_release(cause, source, 7, direct, wait) == expected
@@ -91,7 +96,7 @@
     assert ran == ["a", "b", "c"] and timers.next_due() is None
 
 
-def test_circuits_leave_out_slot_0() -> None:
+def test_circuit_ranges_leave_out_slot_0() -> None:
     assert parse_cic_ranges(["1-3", "31-34"]) == (1, 2, 3, 31, 33, 34)
     for wrong in ("0-3", "5-4", "x", "4096"):
         with pytest.raises(ValueError, match="FIRST-LAST"):
@@ -100,7 +105,7 @@
 
 @dataclass
 class RecordingOwner:
-    """An owner that notes what the association tells."""
+    """An owner that records the calls of its association."""
 
     events: list[str] = field(default_factory=list)
 
@@ -120,14 +125,14 @@
         self.events.append("end")
 
     def unknown_identifier(self, association: Association, identifier: int) -> None:
-        self.events.append(f"stranger {identifier}")
+        self.events.append(f"unknown identifier {identifier}")
 
     def may_take_over(self, association: Association) -> bool:
         return "active" in self.events
 
 
 class Pair:
-    """The dialling and the dialled side, joined by hand; frames may be held back."""
+    """The dialling and the dialled association, connected by hand; frames can be held back."""
 
     def __init__(self) -> None:
         self.near, self.far = RecordingOwner(), RecordingOwner()
@@ -145,7 +150,7 @@
         return names
 
 
-def test_an_association_comes_up_carries_and_is_left() -> None:
+def test_an_association_comes_up_carries_data_and_is_shut_down() -> None:
     pair = Pair()
     pair.client.open()
     assert pair.run() == ["ASPUP", "ASPUP ACK", "NTFY", "ASPAC", "ASPAC ACK", "NTFY"]
@@ -161,7 +166,7 @@
     assert pair.far.events[-1] == "inactive"
 
 
-def test_traffic_before_its_time_is_an_error_and_too_many_errors_are_an_end() -> None:
+def test_data_before_active_is_an_error_and_too_many_errors_end_the_association() -> None:
     pair = Pair()
     early = m3ua.encode_data(m3ua.Data(1, 2, 5, 2, 0, 0, b"\1\0\x10\0", 9))
     for _ in range(MAX_CONSECUTIVE_ERRORS):
@@ -175,7 +180,7 @@
     assert pair.server.state is AspState.DOWN
 
 
-def test_a_peer_that_comes_up_anew_loses_its_calls_first() -> None:
+def test_a_repeated_aspup_ends_the_active_association_first() -> None:
     pair = Pair()
     pair.client.open()
     pair.run()
@@ -187,7 +192,7 @@
     assert beats == [False] and pair.near.events == ["active", "inactive"]
 
 
-def test_how_late_the_process_was_is_remembered_and_fades() -> None:
+def test_lateness_is_recorded_and_decays() -> None:
     timers = TimerQueue()
     timers.schedule(100.0, lambda now: None)
     timers.run_due(380.0)
@@ -195,12 +200,12 @@
     timers.schedule(5_378.0, lambda now: None)
     timers.run_due(5_380.0)
     assert timers.lateness.peak_ms == pytest.approx(140.0, rel=0.01)
-    timers.schedule(0.0, lambda now: None)  # armed in the past: no lateness
+    timers.schedule(0.0, lambda now: None)  # armed in the past, and too late to count as lateness
     timers.run_due(30_000.0)
     assert timers.lateness.peak_ms == pytest.approx(140.0, rel=0.01)
 
 
-def test_the_margin_follows_lateness_within_its_bounds() -> None:
+def test_the_margin_follows_lateness_within_bounds() -> None:
     lateness = LatenessTracker()
     assert lateness.margin(0.0, 9_000.0, 100.0) == 100.0
     assert lateness.margin(0.0, 300.0, 100.0) == 30.0
@@ -210,7 +215,7 @@
     assert lateness.margin(60_000.0, 9_000.0, 100.0) == 100.0
 
 
-def test_rare_errors_over_a_long_life_end_nothing_and_an_err_is_not_answered() -> None:
+def test_occasional_errors_do_not_end_an_association_and_err_is_not_answered() -> None:
     pair = Pair()
     pair.client.open()
     pair.run()
@@ -223,7 +228,7 @@
     assert not pair.wire
 
 
-def test_a_defect_in_a_timer_is_told_and_ends_nothing() -> None:
+def test_an_exception_in_a_timer_is_reported_and_the_loop_goes_on() -> None:
     loop, failed, ran = EventLoop(), [], []
     loop.on_task_error = lambda name, error: failed.append((name, type(error)))
 
@@ -236,8 +241,8 @@
     loop.close()
 
 
-def test_an_interrupted_task_leaves_nothing_behind_for_a_collection() -> None:
-    """Seen as memory that grew by what each closed connection had read last."""
+def test_an_interrupted_task_frees_its_locals_without_garbage_collection() -> None:
+    """A reference cycle would keep the last data read of each closed connection, and memory would grow."""
 
     class Held:
         pass
