--- a/ospreybridge/core/calls.py
+++ b/ospreybridge/core/calls.py
@@ -68,8 +68,7 @@
         self.stage = CallStage.PENDING
         # Delivered to the own office; received from another exchange.
         self.terminates_here = self.is_transit = False
-        self.trace = (
-            ref  # identifies the call in the logs of all exchanges: origin point code << 32 | ref there
-        )
+        # Identifies the call in the logs of all exchanges: origin point code << 32 | ref there.
+        self.trace = ref
         self.cause = self.cause_source = 0  # of the last release, and the point code where the call failed
         self.timer: ScheduledTimer | None = None
--- a/ospreybridge/core/handshakes.py
+++ b/ospreybridge/core/handshakes.py
@@ -36,9 +36,8 @@
     def __init__(self, slots: int, seed: int, cpu_share: float = CPU_SHARE) -> None:
         self.slots, self.cpu_share = slots, cpu_share
         self.random = random.Random(seed)
-        self.inbound: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # time of last progress (ms) by key, oldest first
+        # Time of last progress (ms) by key, oldest first.
+        self.inbound: OrderedDict[int, float] = OrderedDict()
         self.active_dials = 0
         self.step_cost_ms, self.next_step_at = INITIAL_STEP_COST_MS, 0.0
         self.failures: dict[int, int] = {}  # in a row, by point code
