--- a/ospreybridge/fronts/m3ua.py
+++ b/ospreybridge/fronts/m3ua.py
@@ -28,9 +28,9 @@
 from ospreybridge.signalling.errors import FrameError, MessageError
 
 Recorder = Callable[[int, int, bytes], None]  # (from point code, to point code, frame)
-MOST_STRANGERS = 64  # connections that have not yet said who they are
-WAIT_FOR_SLOT = 50.0  # ms between looks whether a handshake of our own may begin
-MOVE_LOOK = 10.0  # ms between looks whether a link has moved over
+MAX_UNIDENTIFIED_CONNECTIONS = 64  # connections that have not yet said who they are
+HANDSHAKE_SLOT_POLL_MS = 50.0  # ms between looks whether a handshake of our own may begin
+CHANGEOVER_POLL_MS = 10.0  # ms between looks whether a link has moved over
 
 
 class Channel:
@@ -43,12 +43,12 @@
         peers: Iterable[Peer],
         dialled: Peer | None = None,
         takes_over: bool = False,
-        shaken: Shaken | None = None,
+        handshake: HandshakeResult | None = None,
     ) -> None:
         """`peers`: who may be at the far end."""
-        self.front, self.stream, self.handshake = front, stream, shaken
+        self.front, self.stream, self.handshake = front, stream, handshake
         self.splitter = m3ua.Splitter()
-        self.heard = front.loop.now
+        self.last_received = front.loop.now
         self.was_active = False
         self.association = Association(
             front,
@@ -64,11 +64,11 @@
 
     def send(self, frame: bytes) -> None:
         if self.front.record is not None:
-            self.front.record(self.front.settings.point_code, self.far, frame)
+            self.front.record(self.front.settings.point_code, self.peer_point_code, frame)
         self.stream.write(frame)
 
     @property
-    def far(self) -> int:
+    def peer_point_code(self) -> int:
         peer = self.association.peer
         return peer.point_code if peer is not None else 0
 
@@ -79,7 +79,7 @@
             if not data:
                 self.drop("the peer closed")
                 return
-            self.heard = front.loop.now
+            self.last_received = front.loop.now
             try:
                 frames = self.splitter.feed(data)
             except FrameError as error:
@@ -94,12 +94,12 @@
                 return
             for frame in frames:
                 if front.record is not None:
-                    front.record(self.far, front.settings.point_code, frame)
+                    front.record(self.peer_point_code, front.settings.point_code, frame)
                 association.receive(frame)
                 if stream.closed:
                     return
 
-    def watch(self) -> Task:
+    def supervise(self) -> Task:
         """Ends a connection that does not come up in time, or that has gone silent."""
         timers = self.front.settings.timers
         yield "sleep", timers.handshake
@@ -107,7 +107,7 @@
             if self.association.state is not AspState.ACTIVE:
                 self.stream.close("no active association in time")
                 return
-            silent = self.front.loop.now - self.heard
+            silent = self.front.loop.now - self.last_received
             if silent >= 3 * timers.heartbeat:
                 self.drop(f"silent for {silent:.0f} ms")
                 return
@@ -115,7 +115,7 @@
                 self.association.send_heartbeat(lambda answered: None)
             yield "sleep", timers.heartbeat
 
-    def keep_session(self) -> None:
+    def store_session(self) -> None:
         """The newest ticket of this connection, for the next one to the same peer."""
         front, shaken, peer = self.front, self.handshake, self.association.peer
         if shaken is not None and shaken.dialled and front.credentials is not None and peer is not None:
@@ -123,7 +123,7 @@
             session = sock.session if isinstance(sock, ssl.SSLSocket) else None
             if session is not None and session.has_ticket:
                 front.credentials.sessions.store(
-                    front.loop.now, peer.point_code, session, shaken.identity, shaken.resumed
+                    front.loop.now, peer.point_code, session, shaken.session_identity, shaken.resumptions
                 )
 
     def _closed(self, reason: str) -> None:
@@ -132,7 +132,7 @@
             word = reason.removeprefix(tls.PROTOCOL_ERROR_PREFIX).partition(":")[0]
             front.counts[f"tls {word}"] += 1
             peer = self.association.peer
-            front.say("link broken", peer=peer.name if peer else "unknown", reason=reason)
+            front.log_event("link broken", peer=peer.name if peer else "unknown", reason=reason)
         self.association.connection_closed(reason)
         front.channels.pop(id(self.association), None)
 
@@ -168,18 +168,18 @@
 
     def drop(self, reason: str) -> None:
         if not self.stream.closed:
-            self.keep_session()
+            self.store_session()
         self.stream.close(reason)
 
 
 @dataclass(frozen=True, slots=True)
-class Shaken:
+class HandshakeResult:
     """How a link's handshake went; `identity` binds its session."""
 
     dialled: bool
     credentials_digest: str
-    identity: str = ""
-    resumed: int = 0
+    session_identity: str = ""
+    resumptions: int = 0
 
 
 class M3uaFront:
@@ -198,25 +198,25 @@
         self.links: dict[int, PeerLink] = {}
         self.counts: Counter[str] = Counter()
         self.stopping = False
-        self.plain = [peer for peer in settings.peers if not peer.tls_name]
-        self.secured = [peer for peer in settings.peers if peer.tls_name and peer.dial_address is None]
+        self.plain_peers = [peer for peer in settings.peers if not peer.tls_name]
+        self.tls_peers = [peer for peer in settings.peers if peer.tls_name and peer.dial_address is None]
         self.pending_handshakes: dict[
             int, socket.socket
         ] = {}  # handshakes that came in, by a number of their own
-        self.last_shaking = 0
+        self.last_handshake_id = 0
         self.credentials: CredentialManager | None = None
         self.sockets: list[socket.socket] = []
         if settings.tls is not None:
-            self.credentials = CredentialManager(settings.tls, settings.seed, self.say, wall)
+            self.credentials = CredentialManager(settings.tls, settings.seed, self.log_event, wall)
             self.renewals = RenewalScheduler(settings.tls.link_age, settings.tls.spread, settings.seed + 1)
             self.renewals.current_digest = self.credentials.digest
-            loop.spawn(self._watching(self.credentials))
-            loop.spawn(self._renewing())
-        self.port = self._listen(settings.listen, self._accepted)
-        self.tls_port = self._listen(settings.tls.listen if settings.tls else None, self._accepted_tls)
+            loop.spawn(self._watch_credentials(self.credentials))
+            loop.spawn(self._renew_links())
+        self.port = self._listen(settings.listen, self._accept_plain)
+        self.tls_port = self._listen(settings.tls.listen if settings.tls else None, self._accept_tls)
         for peer in settings.peers:
             if peer.dial_address is not None:
-                loop.spawn(self._dialling(peer))
+                loop.spawn(self._keep_connected(peer))
 
     def _listen(self, address: tuple[str, int] | None, accepted: Callable[[socket.socket], None]) -> int:
         """The port that is listened on; 0 for none."""
@@ -229,22 +229,22 @@
 
     # -- connections that come in
 
-    def _crowded(self) -> bool:
+    def _must_reject(self) -> bool:
         strangers = sum(channel.association.peer is None for channel in self.channels.values())
-        return self.stopping or strangers >= MOST_STRANGERS
+        return self.stopping or strangers >= MAX_UNIDENTIFIED_CONNECTIONS
 
-    def _accepted(self, sock: socket.socket) -> None:
-        if self._crowded():
+    def _accept_plain(self, sock: socket.socket) -> None:
+        if self._must_reject():
             sock.close()
             return
-        self._begin(Channel(self, tcp.Stream(self.loop, sock, self.settings.out_buffer), self.plain))
+        self._start(Channel(self, tcp.Stream(self.loop, sock, self.settings.out_buffer), self.plain_peers))
 
-    def _accepted_tls(self, sock: socket.socket) -> None:
+    def _accept_tls(self, sock: socket.socket) -> None:
         assert self.credentials is not None
-        if self._crowded():
+        if self._must_reject():
             sock.close()
             return
-        key = self.last_shaking = self.last_shaking + 1
+        key = self.last_handshake_id = self.last_handshake_id + 1
         granted, stale = self.credentials.handshakes.admit(self.loop.now, key)
         if not granted:
             self.counts[f"tls {FailureReason.NO_HANDSHAKE_SLOT}"] += 1
@@ -253,9 +253,9 @@
         stalled = self.pending_handshakes.pop(stale, None) if stale is not None else None
         if stalled is not None:
             self.loop.interrupt(stalled.fileno())
-        self.loop.spawn(self._shaking(sock, key, self.credentials))
+        self.loop.spawn(self._accept_handshake(sock, key, self.credentials))
 
-    def _shaking(self, sock: socket.socket, key: int, keys: CredentialManager) -> Task:
+    def _accept_handshake(self, sock: socket.socket, key: int, keys: CredentialManager) -> Task:
         try:
             address = "{}:{}".format(*sock.getpeername()[:2])
         except OSError:
@@ -268,33 +268,33 @@
             self.pending_handshakes[key] = found
             return found
 
-        shaken = Shaken(False, keys.digest)
+        shaken = HandshakeResult(False, keys.digest)
         try:
             secured = yield from tls.handshake(
                 self.loop, sock, wrapped, keys.handshakes, self.settings.timers.handshake, key
             )
         except tls.HandshakeError as refused:
-            self._refused(refused, address)
+            self._count_refusal(refused, address)
             return
         finally:
             keys.handshakes.release_slot(key)
             self.pending_handshakes.pop(key, None)
         stream = tls.TlsStream(self.loop, secured, self.settings.out_buffer)
         try:
-            peers = keys.verify_peer(secured, False, self.secured)
+            peers = keys.verify_peer(secured, False, self.tls_peers)
         except tls.HandshakeError as refused:
-            self._refused(refused, address)
+            self._count_refusal(refused, address)
             stream.close(str(refused.reason))
             return
         if self.stopping:
             stream.close("stopping")
             return
         self.counts["tls resumed" if secured.session_reused else "tls full"] += 1
-        self._begin(Channel(self, stream, peers, shaken=shaken))
+        self._start(Channel(self, stream, peers, handshake=shaken))
 
-    def _refused(self, refused: tls.HandshakeError, address: str, peer: Peer | None = None) -> None:
+    def _count_refusal(self, refused: tls.HandshakeError, address: str, peer: Peer | None = None) -> None:
         self.counts[f"tls {refused.reason}"] += 1
-        self.say(
+        self.log_event(
             "handshake refused",
             reason=str(refused.reason),
             detail=refused.detail,
@@ -302,34 +302,34 @@
             **({"peer": peer.name} if peer is not None else {}),
         )
 
-    def _begin(self, channel: Channel) -> Channel:
+    def _start(self, channel: Channel) -> Channel:
         self.loop.spawn(channel.read())
-        self.loop.spawn(channel.watch())
+        self.loop.spawn(channel.supervise())
         return channel
 
     # -- connections that go out
 
-    def _dialling(self, peer: Peer) -> Task:
+    def _keep_connected(self, peer: Peer) -> Task:
         while not self.stopping:
             pause = self.settings.timers.redial / 2
             try:
                 channel = yield from self._dial(peer, False)
             except tls.HandshakeError as refused:
                 assert self.credentials is not None
-                self._refused(refused, "dialled", peer)
+                self._count_refusal(refused, "dialled", peer)
                 if validation.requires_backoff(refused.reason):
                     pause = self.credentials.handshakes.record_failure(
                         peer.point_code, self.settings.timers.redial
                     )
             except OSError as error:
                 self.counts["dial failed"] += 1
-                self.say("dial failed", peer=peer.name, error=str(error))
+                self.log_event("dial failed", peer=peer.name, error=str(error))
             else:
                 while not channel.stream.closed or peer.point_code in self.links:
                     yield "sleep", self.settings.timers.redial
                 if self.credentials is not None and peer.tls_name and not channel.was_active:
                     # In TLS 1.3 a peer refuses what it was shown only after the dialler's handshake is over.
-                    self._refused(
+                    self._count_refusal(
                         tls.HandshakeError(FailureReason.REFUSED_BY_PEER, "closed before it was active"),
                         "dialled",
                         peer,
@@ -344,7 +344,7 @@
         assert peer.dial_address is not None
         keys = self.credentials if peer.tls_name else None
         while keys is not None and not keys.handshakes.may_dial():
-            yield "sleep", WAIT_FOR_SLOT
+            yield "sleep", HANDSHAKE_SLOT_POLL_MS
         if keys is None:
             sock = yield from tcp.connect(self.loop, peer.dial_address, self.settings.timers.handshake)
             channel = Channel(
@@ -356,7 +356,7 @@
                 channel = yield from self._dial_tls(peer, keys, takes_over)
             finally:
                 keys.handshakes.active_dials -= 1
-        self._begin(channel)
+        self._start(channel)
         channel.association.open()
         return channel
 
@@ -379,12 +379,12 @@
             raise
         reused = bool(secured.session_reused)
         self.counts["tls resumed" if reused else "tls full"] += 1
-        shaken = Shaken(True, digest, identity, resumed if reused else 0)
+        shaken = HandshakeResult(True, digest, identity, resumed if reused else 0)
         return Channel(self, stream, [peer], peer, takes_over, shaken)
 
     # -- keys and renewal
 
-    def _watching(self, keys: CredentialManager) -> Task:
+    def _watch_credentials(self, keys: CredentialManager) -> Task:
         while not self.stopping:
             self.check_credentials(keys)
             yield "sleep", keys.settings.check_every
@@ -395,13 +395,13 @@
             self.renewals.key_set_replaced(self.loop.now, keys.digest)
         keys.rotate_tickets_and_warn(self.loop.now)
 
-    def _renewing(self) -> Task:
+    def _renew_links(self) -> Task:
         while not self.stopping:
             for code in self.renewals.take_due(self.loop.now):
-                self.loop.spawn(self._moving(self.core.peers[code]))
+                self.loop.spawn(self._move_link(self.core.peers[code]))
             yield "sleep", self.renewals.next_check_delay(self.loop.now)
 
-    def _moving(self, peer: Peer) -> Task:
+    def _move_link(self, peer: Peer) -> Task:
         """Make-before-break: the standing link stays whatever comes of it."""
         code, moved = peer.point_code, False
 
@@ -412,21 +412,21 @@
         try:
             standing = current()
             if isinstance(standing, Channel):
-                standing.keep_session()
+                standing.store_session()
                 channel = yield from self._dial(peer, True)
                 end = self.loop.now + self.settings.timers.handshake
                 while current() is not channel and not channel.stream.closed and self.loop.now < end:
-                    yield "sleep", MOVE_LOOK
+                    yield "sleep", CHANGEOVER_POLL_MS
                 moved = current() is channel
                 if not moved:
                     channel.drop("the move came to nothing")
         except tls.HandshakeError as refused:
-            self._refused(refused, "dialled to move over", peer)
+            self._count_refusal(refused, "dialled to move over", peer)
         except OSError as error:
-            self.say("dial failed", peer=peer.name, error=str(error))
+            self.log_event("dial failed", peer=peer.name, error=str(error))
         self.renewals.move_ended(self.loop.now, code, moved)
         self.counts["links moved over" if moved else "moves failed"] += 1
-        self.say("link moved over" if moved else "link not moved over", peer=peer.name)
+        self.log_event("link moved over" if moved else "link not moved over", peer=peer.name)
 
     # -- what associations tell
 
@@ -445,7 +445,7 @@
             if path is not None:
                 path.current.drop("the peer has a newer association")
             path = self.links[code] = PeerLink(
-                self.loop.timers, channel, lambda reason: self._lost(code, reason)
+                self.loop.timers, channel, lambda reason: self._path_lost(code, reason)
             )
             self.core.link_up(now, code, path)
         if shaken is not None and self.credentials is not None:
@@ -458,7 +458,7 @@
         if path is not None:
             path.association_ended(self.channels[id(association)], reason)
 
-    def _lost(self, code: int, reason: str) -> None:
+    def _path_lost(self, code: int, reason: str) -> None:
         del self.links[code]
         if self.credentials is not None:
             self.renewals.link_down(code)
@@ -472,13 +472,13 @@
         peer, secured = self.core.peers.get(identifier), self.channels[id(association)].handshake is not None
         reason = validation.identity_claim_error(bool(peer.tls_name), secured) if peer is not None else None
         if peer is not None and reason is not None:
-            self._refused(tls.HandshakeError(reason, f"it says it is {peer.name}"), "connected", peer)
+            self._count_refusal(tls.HandshakeError(reason, f"it says it is {peer.name}"), "connected", peer)
 
     def data_received(self, association: Association, data: m3ua.Data) -> None:
         try:
             self.core.receive_data(self.loop.now, data.opc, data)
         except MessageError as error:
-            self.say("unreadable", peer=channel_peer(association).name, error=str(error))
+            self.log_event("unreadable", peer=channel_peer(association).name, error=str(error))
             raise
 
     def message_received(self, association: Association, message: m3ua.Message) -> None:
@@ -497,12 +497,12 @@
                 )
         else:
             self.counts[message.name] += 1
-            self.say("told", peer=peer.name if peer else "unknown", message=message.name)
+            self.log_event("told", peer=peer.name if peer else "unknown", message=message.name)
 
     def close_association(self, association: Association, reason: str) -> None:
         self.channels[id(association)].drop(reason)
 
-    def say(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         if self.log is not None:
             self.log(event, **fields)
 
--- a/ospreybridge/settings/reader.py
+++ b/ospreybridge/settings/reader.py
@@ -54,7 +54,7 @@
         return found[0] if found else None
 
     def all_arguments(self, name: str) -> list[Any]:
-        return [value for part in self.children_named(name) for value in part.argument]
+        return [value for node in self.children_named(name) for value in node.argument]
 
 
 def text(value: Any) -> str:
@@ -113,80 +113,80 @@
 class Reader:
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.faults: list[str] = []
+        self.errors: list[str] = []
 
-    def add_error(self, line: int, key: str, wanted: str) -> None:
-        self.faults.append(f"{self.path}:{line}: {key}: {wanted}")
+    def add_error(self, line: int, key: str, expectation: str) -> None:
+        self.errors.append(f"{self.path}:{line}: {key}: {expectation}")
 
-    def read(self, form: NodeSpec) -> ParsedNode:
+    def read(self, spec: NodeSpec) -> ParsedNode:
         """The whole document as one part; faults are collected, call `check` when done."""
         try:
             source = self.path.read_text()
         except (OSError, UnicodeDecodeError) as error:
             raise SettingsError([f"{self.path}: can't be read: {error}"]) from None
-        starts = [0] + [at + 1 for at, char in enumerate(source) if char == "\n"]
+        line_starts = [0] + [at + 1 for at, char in enumerate(source) if char == "\n"]
         lines: dict[int, int] = {}
 
-        def note(node: Node, fragment: ParseFragment) -> Node:
-            lines[id(node)] = bisect.bisect_right(starts, fragment._i)
+        def record_line(node: Node, fragment: ParseFragment) -> Node:
+            lines[id(node)] = bisect.bisect_right(line_starts, fragment._i)
             return node
 
         try:
-            document = Parser().parse(source, ParseConfig(nodeConverters={None: note}))
+            document = Parser().parse(source, ParseConfig(nodeConverters={None: record_line}))
         except ParseError as error:
             at = f"{self.path}:{error.line}:{error.col}"
             raise SettingsError([f"{at}: not KDL: {error.msg.splitlines()[-1].strip()}"]) from None
-        children = self._children("", 1, document.nodes, form, lines)
+        children = self._check_children("", 1, document.nodes, spec, lines)
         return ParsedNode(1, None, {}, children)
 
     def raise_errors(self) -> None:
-        if self.faults:
-            raise SettingsError(self.faults)
+        if self.errors:
+            raise SettingsError(self.errors)
 
-    def _children(
-        self, where: str, line: int, nodes: list[Node], form: NodeSpec, lines: dict[int, int]
+    def _check_children(
+        self, prefix: str, line: int, nodes: list[Node], spec: NodeSpec, lines: dict[int, int]
     ) -> dict[str, list[ParsedNode]]:
         children: dict[str, list[ParsedNode]] = {}
         for node in nodes:
-            key = f"{where}{node.name}"
-            child = form.children.get(node.name)
-            if child is None:
-                known = ", ".join(sorted(form.children)) or "nothing"
+            key = f"{prefix}{node.name}"
+            child_spec = spec.children.get(node.name)
+            if child_spec is None:
+                known = ", ".join(sorted(spec.children)) or "nothing"
                 self.add_error(lines[id(node)], key, f"unknown; expected {known}")
             else:
-                children.setdefault(node.name, []).append(self._node(key, node, child, lines))
+                children.setdefault(node.name, []).append(self._check_node(key, node, child_spec, lines))
         return children
 
-    def _node(self, key: str, node: Node, form: NodeSpec, lines: dict[int, int]) -> ParsedNode:
+    def _check_node(self, key: str, node: Node, spec: NodeSpec, lines: dict[int, int]) -> ParsedNode:
         line = lines[id(node)]
-        arguments = [self._value(line, key, form.argument, value) for value in node.args]
-        if form.argument is None and arguments:
+        arguments = [self._convert_value(line, key, spec.argument, value) for value in node.args]
+        if spec.argument is None and arguments:
             self.add_error(line, key, "takes no argument")
-        elif form.argument is not None and not form.many_arguments and len(arguments) > 1:
+        elif spec.argument is not None and not spec.many_arguments and len(arguments) > 1:
             self.add_error(line, key, "takes one argument")
-        elif form.argument is not None and form.argument.required and not arguments:
+        elif spec.argument is not None and spec.argument.required and not arguments:
             self.add_error(line, key, "an argument is missing")
-        values = {}
+        properties = {}
         for name, value in node.props.items():
-            if name not in form.properties:
-                known = ", ".join(sorted(form.properties)) or "none"
+            if name not in spec.properties:
+                known = ", ".join(sorted(spec.properties)) or "none"
                 self.add_error(line, f"{key} {name}", f"unknown; expected {known}")
             else:
-                values[name] = self._value(line, f"{key} {name}", form.properties[name], value)
-        for name, wanted in form.properties.items():
-            if name not in values:
-                if wanted.required:
+                properties[name] = self._convert_value(line, f"{key} {name}", spec.properties[name], value)
+        for name, value_spec in spec.properties.items():
+            if name not in properties:
+                if value_spec.required:
                     self.add_error(line, f"{key} {name}", "missing")
-                values[name] = wanted.default
-        argument: Any = arguments if form.many_arguments else (arguments[0] if arguments else None)
-        children = self._children(key + " / ", line, node.nodes, form, lines)
-        return ParsedNode(line, argument, values, children)
+                properties[name] = value_spec.default
+        argument: Any = arguments if spec.many_arguments else (arguments[0] if arguments else None)
+        children = self._check_children(key + " / ", line, node.nodes, spec, lines)
+        return ParsedNode(line, argument, properties, children)
 
-    def _value(self, line: int, key: str, wanted: ValueSpec | None, value: Any) -> Any:
-        if wanted is None:
+    def _convert_value(self, line: int, key: str, spec: ValueSpec | None, value: Any) -> Any:
+        if spec is None:
             return None
         try:
-            return wanted.convert(value)
+            return spec.convert(value)
         except ValueError as error:
             self.add_error(line, key, f"expected {error}, found {value!r}")
-            return wanted.default
+            return spec.default
--- a/ospreybridge/settings/server.py
+++ b/ospreybridge/settings/server.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 from ospreybridge.keys.credentials import CredentialPaths
-from ospreybridge.policy import check_settings as check_module
+from ospreybridge.policy import check_settings as check_controller_settings
 from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.reader import (
     NodeSpec,
@@ -25,7 +25,7 @@
     text,
 )
 
-MS = number(0, 4e9)
+MILLISECONDS = number(0, 4e9)
 POINT_CODE = integer(0, 16_383)
 
 
@@ -36,7 +36,7 @@
     return value.lower()
 
 
-PREFIX = NodeSpec(ValueSpec(digits, required=True), many_arguments=True)
+PREFIX_SPEC = NodeSpec(ValueSpec(digits, required=True), many_arguments=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,14 +103,14 @@
     listen: tuple[str, int] | None
     network: int  # network indicator, 0 to 3
     peers: tuple[Peer, ...]
-    classes: tuple[i.CallClass, ...]
+    classes: tuple[interface.CallClass, ...]
     class_rules: tuple[ClassRule, ...]
-    tenants: tuple[i.Tenant, ...]
+    tenants: tuple[interface.Tenant, ...]
     tenant_prefixes: dict[str, int]
     prefixes: dict[str, int]
-    rules: i.Rules
-    limits: i.Limits
-    goal: i.Goal
+    rules: interface.Rules
+    limits: interface.Limits
+    goal: interface.Goal
     timers: TimerSettings = field(default_factory=TimerSettings)
     tick: float = 5.0
     over_share_worth: float = 1.0
@@ -122,9 +122,9 @@
     path: str = ""
     tls: TlsSettings | None = None
 
-    def controller_settings(self) -> i.Settings:
+    def controller_settings(self) -> interface.Settings:
         """What the module is told at its start."""
-        return i.Settings(
+        return interface.Settings(
             classes=self.classes,
             tenants=self.tenants,
             own_exchange=self.number,
@@ -141,26 +141,26 @@
         )
 
 
-_RULES = {
-    "release": ValueSpec(MS, 200.0),
-    "drain-grace": ValueSpec(MS, 250.0),
-    "warm-after": ValueSpec(MS, 14_000.0),
-    "overload-for": ValueSpec(MS, 1_500.0),
+RULES_PROPERTIES = {
+    "release": ValueSpec(MILLISECONDS, 200.0),
+    "drain-grace": ValueSpec(MILLISECONDS, 250.0),
+    "warm-after": ValueSpec(MILLISECONDS, 14_000.0),
+    "overload-for": ValueSpec(MILLISECONDS, 1_500.0),
     "overload-factor": ValueSpec(number(1, 100), 2.5),
     "cold-share": ValueSpec(number(0.01, 1), 0.3),
-    "ask-within": ValueSpec(MS, 10_000.0),
+    "ask-within": ValueSpec(MILLISECONDS, 10_000.0),
 }
-_LIMITS = {
+LIMITS_PROPERTIES = {
     "tries": ValueSpec(integer(1, 20), 4),
-    "retry-after": ValueSpec(MS, 2_000.0),
+    "retry-after": ValueSpec(MILLISECONDS, 2_000.0),
     "peer-messages": ValueSpec(flag, True),
     "probes": ValueSpec(flag, False),
 }
-_GOAL = {
+GOAL_PROPERTIES = {
     name: ValueSpec(number(0, 1), 0.0) for name in ("whole", "worst-window", "worst-class", "worst-tenant")
 }
-_TIMERS = {name: ValueSpec(MS) for name in TimerSettings.__dataclass_fields__}
-CLASS = NodeSpec(
+TIMER_PROPERTIES = {name: ValueSpec(MILLISECONDS) for name in TimerSettings.__dataclass_fields__}
+CLASS_SPEC = NodeSpec(
     ValueSpec(text, required=True),
     {
         "on-time": ValueSpec(number(1, 1e7), required=True),
@@ -168,19 +168,19 @@
         "importance": ValueSpec(number(0, 1e6), 1.0),
         "late-worth": ValueSpec(number(0, 1), 0.0),
         "width": ValueSpec(integer(1, 2), 1),
-        "hold": ValueSpec(MS, 10_000.0),
+        "hold": ValueSpec(MILLISECONDS, 10_000.0),
     },
     {
         "category": NodeSpec(ValueSpec(integer(0, 255), required=True), many_arguments=True),
-        "called-prefix": PREFIX,
+        "called-prefix": PREFIX_SPEC,
     },
 )
-TENANT = NodeSpec(
+TENANT_SPEC = NodeSpec(
     ValueSpec(text, required=True),
     {"share": ValueSpec(number(0, 1), 0.0), "quota": ValueSpec(number(0, 1e6), 0.0)},
-    {"calling-prefix": PREFIX},
+    {"calling-prefix": PREFIX_SPEC},
 )
-PEER = NodeSpec(
+PEER_SPEC = NodeSpec(
     ValueSpec(text, required=True),
     {
         "role": ValueSpec(choice("exchange", "office", "callers", "list", "centre"), "exchange", True),
@@ -193,9 +193,9 @@
         "wildcard": ValueSpec(flag, False),
         "plain": ValueSpec(flag, False),
     },
-    {"circuits": NodeSpec(ValueSpec(text, required=True), many_arguments=True), "prefix": PREFIX},
+    {"circuits": NodeSpec(ValueSpec(text, required=True), many_arguments=True), "prefix": PREFIX_SPEC},
 )
-TLS = NodeSpec(
+TLS_SPEC = NodeSpec(
     properties={
         "certificate": ValueSpec(text, "", True),
         "key": ValueSpec(text, "", True),
@@ -204,9 +204,9 @@
         "name": ValueSpec(dns_name, ""),
         "listen": ValueSpec(address),
         "allow-1.2": ValueSpec(flag, False),
-        "ticket-age": ValueSpec(MS),
+        "ticket-age": ValueSpec(MILLISECONDS),
         "link-age": ValueSpec(number(1, 4e9)),
-        "spread": ValueSpec(MS),
+        "spread": ValueSpec(MILLISECONDS),
         "slots": ValueSpec(integer(1, 10_000)),
         "check-every": ValueSpec(number(100, 4e9)),
     },
@@ -223,15 +223,15 @@
                 "listen": ValueSpec(address),
                 "network-indicator": ValueSpec(integer(0, 3), 2),
             },
-            {"prefix": PREFIX},
+            {"prefix": PREFIX_SPEC},
         ),
-        "peer": PEER,
-        "class": CLASS,
-        "tenant": TENANT,
-        "rules": NodeSpec(properties=_RULES),
-        "limits": NodeSpec(properties=_LIMITS),
-        "goal": NodeSpec(properties=_GOAL),
-        "timers": NodeSpec(properties=_TIMERS),
+        "peer": PEER_SPEC,
+        "class": CLASS_SPEC,
+        "tenant": TENANT_SPEC,
+        "rules": NodeSpec(properties=RULES_PROPERTIES),
+        "limits": NodeSpec(properties=LIMITS_PROPERTIES),
+        "goal": NodeSpec(properties=GOAL_PROPERTIES),
+        "timers": NodeSpec(properties=TIMER_PROPERTIES),
         "module": NodeSpec(
             properties={
                 "tick": ValueSpec(number(0, 1_000), 5.0),
@@ -240,12 +240,12 @@
                 "over-share-worth": ValueSpec(number(0, 1), 1.0),
             }
         ),
-        "tls": TLS,
+        "tls": TLS_SPEC,
         "stop": NodeSpec(properties={"within": ValueSpec(number(100, 600_000), 10_000.0)}),
         "link": NodeSpec(
             properties={
                 "out-buffer": ValueSpec(integer(4_096, 1 << 30), 1 << 20),
-                "answer-margin": ValueSpec(MS, 100.0),
+                "answer-margin": ValueSpec(MILLISECONDS, 100.0),
             }
         ),
     }
@@ -263,137 +263,137 @@
     return tuple(sorted(found))
 
 
-def _defaults(form: NodeSpec, part: ParsedNode | None) -> dict[str, Any]:
-    return {name: part[name] if part else key.default for name, key in form.properties.items()}
+def _properties_or_defaults(spec: NodeSpec, node: ParsedNode | None) -> dict[str, Any]:
+    return {name: node[name] if node else key.default for name, key in spec.properties.items()}
 
 
-def _tls(part: ParsedNode | None, folder: Path) -> TlsSettings | None:
+def _tls_settings(node: ParsedNode | None, folder: Path) -> TlsSettings | None:
     """Paths are taken from the folder of the settings file."""
-    if part is None:
+    if node is None:
         return None
-    at = {name: folder / part[name] for name in ("certificate", "key", "trust", "revoked") if part[name]}
+    paths = {name: folder / node[name] for name in ("certificate", "key", "trust", "revoked") if node[name]}
     given: dict[str, Any] = {
-        name: part[name.replace("_", "-")]
+        name: node[name.replace("_", "-")]
         for name in ("ticket_age", "link_age", "spread", "slots", "check_every")
-        if part[name.replace("_", "-")] is not None
+        if node[name.replace("_", "-")] is not None
     }
-    if days := part.all_arguments("warn-days"):
+    if days := node.all_arguments("warn-days"):
         given["warn_days"] = tuple(days)
-    return TlsSettings(CredentialPaths(**at), part["name"], part["listen"], part["allow-1.2"], **given)
+    return TlsSettings(CredentialPaths(**paths), node["name"], node["listen"], node["allow-1.2"], **given)
 
 
 def load(path: Path) -> ServerSettings:
     """The whole file, checked; SettingsError names every fault."""
     reader = Reader(path)
-    top = reader.read(SERVER_SPEC)
-    own = top.first_child("exchange")
-    if own is None or len(top.children_named("exchange")) != 1:
+    document = reader.read(SERVER_SPEC)
+    own_node = document.first_child("exchange")
+    if own_node is None or len(document.children_named("exchange")) != 1:
         reader.add_error(1, "exchange", "exactly one is needed")
-    if not top.children_named("class"):
+    if not document.children_named("class"):
         reader.add_error(1, "class", "at least one is needed")
     for name in ("rules", "limits", "goal", "timers", "module", "stop", "link", "tls"):
-        for extra in top.children_named(name)[1:]:
+        for extra in document.children_named(name)[1:]:
             reader.add_error(extra.line, name, "stands more than once")
     reader.raise_errors()
-    assert own is not None
-    zones = sorted({part["zone"] for part in [own, *top.children_named("peer")]})
+    assert own_node is not None
+    zones = sorted({node["zone"] for node in [own_node, *document.children_named("peer")]})
     prefixes: dict[str, int] = {}
     peers: list[Peer] = []
-    seen: dict[tuple[str, Any], int] = {("point-code", own["point-code"]): own.line}
-    seen["number", own["number"]] = own.line
+    seen: dict[tuple[str, Any], int] = {("point-code", own_node["point-code"]): own_node.line}
+    seen["number", own_node["number"]] = own_node.line
 
-    def once(part: ParsedNode, key: str, value: Any) -> None:
+    def check_unique(node: ParsedNode, key: str, value: Any) -> None:
         if (key, value) in seen:
-            reader.add_error(part.line, f"peer {key}", f"{value} stands already in line {seen[key, value]}")
-        seen[key, value] = part.line
+            reader.add_error(node.line, f"peer {key}", f"{value} stands already in line {seen[key, value]}")
+        seen[key, value] = node.line
 
-    def lead(part: ParsedNode, exchange: int) -> None:
-        for prefix in part.all_arguments("prefix"):
+    def add_prefixes(node: ParsedNode, exchange: int) -> None:
+        for prefix in node.all_arguments("prefix"):
             if prefix in prefixes:
                 reader.add_error(
-                    part.line, "prefix", f"{prefix} leads to exchange {prefixes[prefix]} already"
+                    node.line, "prefix", f"{prefix} leads to exchange {prefixes[prefix]} already"
                 )
             prefixes[prefix] = exchange
 
-    lead(own, own["number"])
-    for part in top.children_named("peer"):
-        once(part, "name", part.argument)
-        once(part, "point-code", part["point-code"])
-        once(part, "context", part["context"])
-        if part["role"] == "exchange":
-            if part["number"] < 0:
-                reader.add_error(part.line, "peer number", "missing for an exchange")
-            once(part, "number", part["number"])
-            lead(part, part["number"])
-        if bool(part["tls"]) == part["plain"]:
+    add_prefixes(own_node, own_node["number"])
+    for node in document.children_named("peer"):
+        check_unique(node, "name", node.argument)
+        check_unique(node, "point-code", node["point-code"])
+        check_unique(node, "context", node["context"])
+        if node["role"] == "exchange":
+            if node["number"] < 0:
+                reader.add_error(node.line, "peer number", "missing for an exchange")
+            check_unique(node, "number", node["number"])
+            add_prefixes(node, node["number"])
+        if bool(node["tls"]) == node["plain"]:
             expected = 'either tls="the DNS name of its certificate" or plain=true'
-            reader.add_error(part.line, "peer tls", f"expected {expected}")
+            reader.add_error(node.line, "peer tls", f"expected {expected}")
         cics: tuple[int, ...] = ()
         try:
-            cics = parse_cic_ranges(part.all_arguments("circuits"))
+            cics = parse_cic_ranges(node.all_arguments("circuits"))
         except ValueError as error:
-            reader.add_error(part.line, "peer / circuits", f"expected {error}")
+            reader.add_error(node.line, "peer / circuits", f"expected {error}")
         peers.append(
             Peer(
-                part.argument,
-                part["role"],
-                part["point-code"],
-                part["context"],
-                part["number"],
-                zones.index(part["zone"]),
-                part["dial"],
+                node.argument,
+                node["role"],
+                node["point-code"],
+                node["context"],
+                node["number"],
+                zones.index(node["zone"]),
+                node["dial"],
                 cics,
-                part["tls"],
-                part["wildcard"],
+                node["tls"],
+                node["wildcard"],
             )
         )
     if sum(peer.role == "office" for peer in peers) > 1:
-        reader.add_error(own.line, "peer", "only one office: the own exchange's lines")
+        reader.add_error(own_node.line, "peer", "only one office: the own exchange's lines")
     classes, class_rules = [], []
-    for part in top.children_named("class"):
-        if part["deadline"] < part["on-time"]:
-            reader.add_error(part.line, "class deadline", f"at least on-time, {part['on-time']:g}")
+    for node in document.children_named("class"):
+        if node["deadline"] < node["on-time"]:
+            reader.add_error(node.line, "class deadline", f"at least on-time, {node['on-time']:g}")
         classes.append(
-            i.CallClass(
-                part["on-time"],
-                part["deadline"],
-                part["importance"],
-                part["late-worth"],
-                float(part["width"]),
-                part["hold"],
-                name=part.argument,
+            interface.CallClass(
+                node["on-time"],
+                node["deadline"],
+                node["importance"],
+                node["late-worth"],
+                float(node["width"]),
+                node["hold"],
+                name=node.argument,
             )
         )
         class_rules.append(
-            ClassRule(tuple(part.all_arguments("category")), tuple(part.all_arguments("called-prefix")))
+            ClassRule(tuple(node.all_arguments("category")), tuple(node.all_arguments("called-prefix")))
         )
     tenants, tenant_prefixes = [], {}
-    for index, part in enumerate(top.children_named("tenant")):
-        tenants.append(i.Tenant(part["quota"], part["share"], part.argument))
-        for prefix in part.all_arguments("calling-prefix"):
+    for index, node in enumerate(document.children_named("tenant")):
+        tenants.append(interface.Tenant(node["quota"], node["share"], node.argument))
+        for prefix in node.all_arguments("calling-prefix"):
             if prefix in tenant_prefixes:
-                reader.add_error(part.line, "tenant calling-prefix", f"{prefix} is another tenant's already")
+                reader.add_error(node.line, "tenant calling-prefix", f"{prefix} is another tenant's already")
             tenant_prefixes[prefix] = index
-    rules = _defaults(SERVER_SPEC.children["rules"], top.first_child("rules"))
-    limits = _defaults(SERVER_SPEC.children["limits"], top.first_child("limits"))
-    goal = _defaults(SERVER_SPEC.children["goal"], top.first_child("goal"))
-    timers = (top.first_child("timers") or ParsedNode(0, 0, {}, {})).properties
-    module = _defaults(SERVER_SPEC.children["module"], top.first_child("module"))
+    rules = _properties_or_defaults(SERVER_SPEC.children["rules"], document.first_child("rules"))
+    limits = _properties_or_defaults(SERVER_SPEC.children["limits"], document.first_child("limits"))
+    goal = _properties_or_defaults(SERVER_SPEC.children["goal"], document.first_child("goal"))
+    timers = (document.first_child("timers") or ParsedNode(0, 0, {}, {})).properties
+    controller = _properties_or_defaults(SERVER_SPEC.children["module"], document.first_child("module"))
     server = ServerSettings(
-        name=own.argument,
-        number=own["number"],
-        point_code=own["point-code"],
-        zone=zones.index(own["zone"]),
-        listen=own["listen"],
-        network=own["network-indicator"],
+        name=own_node.argument,
+        number=own_node["number"],
+        point_code=own_node["point-code"],
+        zone=zones.index(own_node["zone"]),
+        listen=own_node["listen"],
+        network=own_node["network-indicator"],
         peers=tuple(peers),
         classes=tuple(classes),
         class_rules=tuple(class_rules),
         tenants=tuple(tenants),
         tenant_prefixes=tenant_prefixes,
         prefixes=prefixes,
-        rules=i.Rules(**{name.replace("-", "_"): value for name, value in rules.items()}),
-        limits=i.Limits(
+        rules=interface.Rules(**{name.replace("-", "_"): value for name, value in rules.items()}),
+        limits=interface.Limits(
             cancel=True,
             max_tries=limits["tries"],
             probes=limits["probes"],
@@ -401,31 +401,37 @@
             retry_after=limits["retry-after"] > 0,
             max_retry_after=limits["retry-after"],
         ),
-        goal=i.Goal(**{name.replace("-", "_"): value for name, value in goal.items()})
-        if top.first_child("goal")
-        else i.Goal(),
+        goal=interface.Goal(**{name.replace("-", "_"): value for name, value in goal.items()})
+        if document.first_child("goal")
+        else interface.Goal(),
         timers=TimerSettings(**{name: value for name, value in timers.items() if value is not None}),
-        tick=module["tick"],
-        over_share_worth=module["over-share-worth"],
-        advice=module["advice"],
-        stop_within=_defaults(SERVER_SPEC.children["stop"], top.first_child("stop"))["within"],
-        out_buffer=_defaults(SERVER_SPEC.children["link"], top.first_child("link"))["out-buffer"],
-        answer_margin=_defaults(SERVER_SPEC.children["link"], top.first_child("link"))["answer-margin"],
-        seed=module["seed"] or own["point-code"],
+        tick=controller["tick"],
+        over_share_worth=controller["over-share-worth"],
+        advice=controller["advice"],
+        stop_within=_properties_or_defaults(SERVER_SPEC.children["stop"], document.first_child("stop"))[
+            "within"
+        ],
+        out_buffer=_properties_or_defaults(SERVER_SPEC.children["link"], document.first_child("link"))[
+            "out-buffer"
+        ],
+        answer_margin=_properties_or_defaults(SERVER_SPEC.children["link"], document.first_child("link"))[
+            "answer-margin"
+        ],
+        seed=controller["seed"] or own_node["point-code"],
         path=str(path),
-        tls=_tls(top.first_child("tls"), path.parent),
+        tls=_tls_settings(document.first_child("tls"), path.parent),
     )
     if any(peer.dial_address is None and not peer.tls_name for peer in peers) and server.listen is None:
-        reader.add_error(own.line, "exchange listen", "missing: some plain peer has no dial address")
-    for part, peer in zip(top.children_named("peer"), peers, strict=True):
+        reader.add_error(own_node.line, "exchange listen", "missing: some plain peer has no dial address")
+    for node, peer in zip(document.children_named("peer"), peers, strict=True):
         if peer.tls_name and (
             server.tls is None or (peer.dial_address is None and server.tls.listen is None)
         ):
             needed = "a tls node" if server.tls is None else "tls listen: it has no dial address"
-            reader.add_error(part.line, "peer tls", f"needs {needed}")
+            reader.add_error(node.line, "peer tls", f"needs {needed}")
     reader.raise_errors()
     try:
-        check_module(server.controller_settings())
+        check_controller_settings(server.controller_settings())
     except ValueError as error:
-        raise SettingsError([f"{path}:{own.line}: {error}"]) from None
+        raise SettingsError([f"{path}:{own_node.line}: {error}"]) from None
     return server
--- a/ospreybridge/signalling/errors.py
+++ b/ospreybridge/signalling/errors.py
@@ -22,5 +22,5 @@
         self.error_code = code
 
 
-class LocalError(Exception):
+class EncodeError(Exception):
     """A message of our own that may not be sent as it is: a defect here, never the other side's."""
--- a/ospreybridge/signalling/frames.py
+++ b/ospreybridge/signalling/frames.py
@@ -11,14 +11,14 @@
 
 from ospreybridge.signalling.errors import FrameError
 
-LENGTH = struct.Struct(">I")
-HEAD = struct.Struct(">QB")
-RECORD = struct.Struct(">IIHBBBHIQ")
+LENGTH_FORMAT = struct.Struct(">I")
+HEADER_FORMAT = struct.Struct(">QB")
+RECORD_FORMAT = struct.Struct(">IIHBBBHIQ")
 REQUEST = struct.Struct(">Q")
 NO_CHANGES, FULL_LIST, CHANGES = 0, 1, 2
 READY, DRAINING, REMOVED = 0, 1, 2
-MOST_RECORDS = 20_000
-LONGEST = HEAD.size + MOST_RECORDS * RECORD.size
+MAX_RECORDS = 20_000
+MAX_FRAME_BYTES = HEADER_FORMAT.size + MAX_RECORDS * RECORD_FORMAT.size
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,15 +53,15 @@
     def feed(self, data: bytes) -> list[Frame]:
         self.buffer += data
         found: list[Frame] = []
-        while not self.error and len(self.buffer) >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self.buffer)
-            if not HEAD.size <= length <= LONGEST:
+        while not self.error and len(self.buffer) >= LENGTH_FORMAT.size:
+            (length,) = LENGTH_FORMAT.unpack_from(self.buffer)
+            if not HEADER_FORMAT.size <= length <= MAX_FRAME_BYTES:
                 self.error = f"a frame of {length} octets"
-            elif len(self.buffer) < LENGTH.size + length:
+            elif len(self.buffer) < LENGTH_FORMAT.size + length:
                 break
             else:
-                body = self.buffer[LENGTH.size : LENGTH.size + length]
-                self.buffer = self.buffer[LENGTH.size + length :]
+                body = self.buffer[LENGTH_FORMAT.size : LENGTH_FORMAT.size + length]
+                self.buffer = self.buffer[LENGTH_FORMAT.size + length :]
                 try:
                     found.append(decode(body))
                 except FrameError as error:
@@ -73,18 +73,20 @@
 
 def decode(body: bytes) -> Frame:
     """A frame without its length."""
-    number, kind = HEAD.unpack_from(body)
-    payload = body[HEAD.size :]
+    number, kind = HEADER_FORMAT.unpack_from(body)
+    payload = body[HEADER_FORMAT.size :]
     if kind not in (NO_CHANGES, FULL_LIST, CHANGES):
         raise FrameError(f"kind {kind}")
     if number >= 1 << 62:
         raise FrameError(f"number {number}")
     if kind == NO_CHANGES:
         return Frame(number, kind)
-    if len(payload) % RECORD.size:
+    if len(payload) % RECORD_FORMAT.size:
         raise FrameError(f"{len(payload)} octets of records")
     records = []
-    for office, address, port, state, zone, place, cell, weight, started in RECORD.iter_unpack(payload):
+    for office, address, port, state, zone, place, cell, weight, started in RECORD_FORMAT.iter_unpack(
+        payload
+    ):
         if state > REMOVED:
             raise FrameError(f"state {state}")
         host = ".".join(str(octet) for octet in address.to_bytes(4, "big"))
@@ -94,7 +96,7 @@
 
 def encode(frame: Frame) -> bytes:
     payload = b"".join(
-        RECORD.pack(
+        RECORD_FORMAT.pack(
             r.id,
             int.from_bytes(bytes(int(part) for part in r.address.split(".")), "big"),
             r.port,
@@ -107,7 +109,11 @@
         )
         for r in frame.records
     )
-    return LENGTH.pack(HEAD.size + len(payload)) + HEAD.pack(frame.number, frame.kind) + payload
+    return (
+        LENGTH_FORMAT.pack(HEADER_FORMAT.size + len(payload))
+        + HEADER_FORMAT.pack(frame.number, frame.kind)
+        + payload
+    )
 
 
 def office_name(office: int) -> str:
--- a/ospreybridge/signalling/isup.py
+++ b/ospreybridge/signalling/isup.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from ospreybridge.signalling.errors import LocalError, MessageError
+from ospreybridge.signalling.errors import EncodeError, MessageError
 
 IAM, SAM, COT, ACM, CON, FOT, ANM, REL = 0x01, 0x02, 0x05, 0x06, 0x07, 0x08, 0x09, 0x0C
 SUS, RES, RLC, RSC, BLO, UBL, BLA, UBA = 0x0D, 0x0E, 0x10, 0x12, 0x13, 0x14, 0x15, 0x16
@@ -141,7 +141,7 @@
     """The octets of a message; LocalError where a mandatory parameter is missing or too long."""
     layout = LAYOUT.get(message.type)
     if layout is None or not 0 <= message.cic < 4096:
-        raise LocalError(f"{message.name} on circuit {message.cic}")
+        raise EncodeError(f"{message.name} on circuit {message.cic}")
     fixed, variable, options = layout
     rest = dict(message.parameters)
     out = bytearray((message.cic & 0xFF, message.cic >> 8, message.type))
@@ -149,20 +149,20 @@
         for code, length in fixed:
             value = rest.pop(code)
             if len(value) != length:
-                raise LocalError(
+                raise EncodeError(
                     f"{message.name}: parameter {code:#04x} of {len(value)} octets, not {length}"
                 )
             out += value
         tails = [rest.pop(code) for code in variable]
     except KeyError as missing:
-        raise LocalError(f"{message.name} without its mandatory parameter {missing.args[0]:#04x}") from None
+        raise EncodeError(f"{message.name} without its mandatory parameter {missing.args[0]:#04x}") from None
     if rest and not options:
-        raise LocalError(f"{message.name} takes no optional parameters")
+        raise EncodeError(f"{message.name} takes no optional parameters")
     pointers = len(tails) + options
     ahead = pointers
     for index, tail in enumerate(tails):
         if len(tail) > 255:
-            raise LocalError(f"{message.name}: a parameter of {len(tail)} octets")
+            raise EncodeError(f"{message.name}: a parameter of {len(tail)} octets")
         out.append(ahead - index)
         ahead += 1 + len(tail)
     if options:
@@ -180,12 +180,12 @@
 # -- numbers
 
 
-def _digits(raw: bytes, odd: bool) -> str:
+def _unpack_digits(raw: bytes, odd: bool) -> str:
     text = "".join(f"{octet & 15:x}{octet >> 4:x}" for octet in raw)
     return text[:-1] if odd and text else text
 
 
-def _packed(digits: str) -> bytes:
+def _pack_digits(digits: str) -> bytes:
     even = digits + "0" * (len(digits) % 2)
     return bytes(int(even[at], 16) | int(even[at + 1], 16) << 4 for at in range(0, len(even), 2))
 
@@ -194,24 +194,24 @@
     """Digits of a called party number (Q.763, 3.9), without the ST signal."""
     if len(raw) < 3:
         raise MessageError(f"a called party number of {len(raw)} octets")
-    return _digits(raw[2:], bool(raw[0] & 0x80)).rstrip("f")
+    return _unpack_digits(raw[2:], bool(raw[0] & 0x80)).rstrip("f")
 
 
 def decode_calling_number(raw: bytes) -> str:
     """Digits of a calling party number (Q.763, 3.10); empty where the address is not available."""
     if len(raw) < 2:
         raise MessageError(f"a calling party number of {len(raw)} octets")
-    return _digits(raw[2:], bool(raw[0] & 0x80))
+    return _unpack_digits(raw[2:], bool(raw[0] & 0x80))
 
 
 def encode_called_number(digits: str) -> bytes:
     """National significant number, ISDN numbering plan, routing to an internal number not allowed."""
-    return bytes(((len(digits) & 1) << 7 | 0x03, 0x90)) + _packed(digits)
+    return bytes(((len(digits) & 1) << 7 | 0x03, 0x90)) + _pack_digits(digits)
 
 
 def encode_calling_number(digits: str) -> bytes:
     """The same, complete, presentation allowed, network provided."""
-    return bytes(((len(digits) & 1) << 7 | 0x03, 0x13)) + _packed(digits)
+    return bytes(((len(digits) & 1) << 7 | 0x03, 0x13)) + _pack_digits(digits)
 
 
 # -- other parameters
@@ -287,7 +287,7 @@
 
 # left: ms to answer; retry: ms to come back; again, cut: callers' marks; via, tries: the way, for a caller;
 # trace: the exchange where the call began (times 2^32) and its number there, for logs.
-WORDS = ("left", "retry", "again", "cut", "via", "tries", "trace")
+USER_WORDS = ("left", "retry", "again", "cut", "via", "tries", "trace")
 
 
 def decode_user_words(raw: bytes | None) -> dict[str, int]:
@@ -297,7 +297,7 @@
     found = {}
     for part in raw[1:].decode("ascii", "ignore").split():
         name, _, value = part.partition("=")
-        if name in WORDS and value.isascii() and value.isdigit() and len(value) < 17:
+        if name in USER_WORDS and value.isascii() and value.isdigit() and len(value) < 17:
             found[name] = int(value)
     return found
 
--- a/ospreybridge/signalling/jsonl.py
+++ b/ospreybridge/signalling/jsonl.py
@@ -17,8 +17,8 @@
 LAUNCH, STAGING, RUNNING, STOP, STOPPED = "launch", "staging", "running", "stop", "stopped"
 CHECK, CHECKED, USAGE = "check", "checked", "usage"
 KINDS = frozenset((LAUNCH, STAGING, RUNNING, STOP, STOPPED, CHECK, CHECKED, USAGE))
-MOST_FIELDS = 32
-HIGHEST_CAUSE = 127
+MAX_FIELDS = 32
+MAX_CAUSE = 127
 _ID = re.compile(r"[0-9a-f]{16}")
 
 Value = str | int | float
@@ -65,13 +65,13 @@
         raise MessageError("kind: not a kind of message")
     if not isinstance(uid, str) or (uid and not _ID.fullmatch(uid)) or (not uid and kind != USAGE):
         raise MessageError("uid: 16 hex digits were expected")
-    if not isinstance(meta, dict) or len(meta) > MOST_FIELDS:
+    if not isinstance(meta, dict) or len(meta) > MAX_FIELDS:
         raise MessageError("meta: an object of a few fields was expected")
     for value in meta.values():
         if isinstance(value, bool) or not isinstance(value, str | int | float):
             raise MessageError("meta: texts and numbers were expected")
-    if isinstance(reason, bool) or not isinstance(reason, int) or not 0 <= reason <= HIGHEST_CAUSE:
-        raise MessageError(f"reason: a whole number from 0 to {HIGHEST_CAUSE} was expected")
+    if isinstance(reason, bool) or not isinstance(reason, int) or not 0 <= reason <= MAX_CAUSE:
+        raise MessageError(f"reason: a whole number from 0 to {MAX_CAUSE} was expected")
     if body is not None and not isinstance(body, str):
         raise MessageError("body: a text was expected")
     return Message(kind, uid, meta, reason, body)
@@ -86,14 +86,14 @@
     return orjson.dumps(tree, option=orjson.OPT_APPEND_NEWLINE)
 
 
-def parse_number(value: Value | None, expected: str) -> float:
+def parse_number(value: Value | None, field_name: str) -> float:
     """A field's figure, from a text or a number; MessageError where it is none."""
     try:
         found = float(value) if value is not None else float("nan")
     except (ValueError, OverflowError):
         found = float("nan")
     if not -1e15 < found < 1e15 or (isinstance(value, str) and len(value) > 24):
-        raise MessageError(f"{expected}: a number was expected")
+        raise MessageError(f"{field_name}: a number was expected")
     return found
 
 
--- a/ospreybridge/signalling/m3ua.py
+++ b/ospreybridge/signalling/m3ua.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ospreybridge.signalling.errors import FrameError, LocalError, MessageError
+from ospreybridge.signalling.errors import EncodeError, FrameError, MessageError
 
 VERSION = 1
-HEADER = struct.Struct(">BBBBI")
-TLV = struct.Struct(">HH")
-PROTOCOL_DATA = struct.Struct(">IIBBBB")
-DATA_HEAD = struct.Struct(">BBBBIHHIHHIIBBBB")  # header, routing context, protocol data
-LONGEST = 4_096  # bytes of one frame: an ISUP message has at most 272
+HEADER_FORMAT = struct.Struct(">BBBBI")
+PARAMETER_HEADER = struct.Struct(">HH")
+PROTOCOL_DATA_HEADER = struct.Struct(">IIBBBB")
+DATA_HEADER = struct.Struct(">BBBBIHHIHHIIBBBB")  # header, routing context, protocol data
+MAX_FRAME_BYTES = 4_096  # bytes of one frame: an ISUP message has at most 272
 
 MGMT, TRANSFER, SSNM, ASPSM, ASPTM = 0, 1, 2, 3, 4
 ERR, NTFY = (MGMT, 0), (MGMT, 1)
@@ -32,12 +32,18 @@
     ASPDN_ACK: "ASPDN ACK", BEAT_ACK: "BEAT ACK", ASPAC: "ASPAC", ASPIA: "ASPIA", ASPAC_ACK: "ASPAC ACK",
     ASPIA_ACK: "ASPIA ACK",
 }  # fmt: skip
-KNOWN_CLASSES = frozenset(kind[0] for kind in NAMES)
-
-INFO, ROUTING_CONTEXT, DIAGNOSTIC, HEARTBEAT_DATA, TRAFFIC_MODE = 0x0004, 0x0006, 0x0007, 0x0009, 0x000B
-ERROR_CODE, STATUS, ASP_ID, AFFECTED, CONGESTION = 0x000C, 0x000D, 0x0011, 0x0012, 0x0205
-PROTOCOL = 0x0210
-INVALID_VERSION, BAD_CLASS, BAD_TYPE, UNSUPPORTED_TRAFFIC_MODE = 0x01, 0x03, 0x04, 0x05
+SUPPORTED_CLASSES = frozenset(kind[0] for kind in NAMES)
+
+INFO_STRING, ROUTING_CONTEXT, DIAGNOSTIC, HEARTBEAT_DATA, TRAFFIC_MODE = (
+    0x0004,
+    0x0006,
+    0x0007,
+    0x0009,
+    0x000B,
+)
+ERROR_CODE, STATUS, ASP_ID, AFFECTED_POINT_CODE, CONGESTION = 0x000C, 0x000D, 0x0011, 0x0012, 0x0205
+PROTOCOL_DATA_TAG = 0x0210
+INVALID_VERSION, UNSUPPORTED_CLASS, UNSUPPORTED_TYPE, UNSUPPORTED_TRAFFIC_MODE = 0x01, 0x03, 0x04, 0x05
 UNEXPECTED_MESSAGE, PROTOCOL_ERROR = 0x06, 0x07
 ASP_ID_REQUIRED, INVALID_ASP_ID, PARAMETER_FIELD_ERROR = 0x0E, 0x0F, 0x12
 MISSING_PARAMETER, INVALID_ROUTING_CONTEXT = 0x16, 0x19
@@ -88,7 +94,7 @@
 
     def affected_point_codes(self) -> list[tuple[int, int]]:
         """The affected point codes with their masks (bits that are wild)."""
-        raw = self.parameters.get(AFFECTED)
+        raw = self.parameters.get(AFFECTED_POINT_CODE)
         if raw is None:
             raise MessageError(f"{self.name} without an affected point code", MISSING_PARAMETER)
         if not raw or len(raw) % 4:
@@ -98,31 +104,33 @@
         return [(raw[at], int.from_bytes(raw[at + 1 : at + 4], "big")) for at in range(0, len(raw), 4)]
 
     def info_string(self) -> str:
-        return self.parameters.get(INFO, b"").decode("utf-8", "replace")
+        return self.parameters.get(INFO_STRING, b"").decode("utf-8", "replace")
 
 
 class Splitter:
     """Cuts a byte stream into frames. One for each direction of a link."""
 
-    def __init__(self, longest: int = LONGEST) -> None:
-        self.longest = longest
-        self.rest = b""
+    def __init__(self, longest: int = MAX_FRAME_BYTES) -> None:
+        self.max_frame_bytes = longest
+        self.buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Whole frames, in order. FrameError where no border can be trusted; nothing is read after one."""
-        data = self.rest + data if self.rest else data
+        data = self.buffer + data if self.buffer else data
         frames, at, size = [], 0, len(data)
         while size - at >= 8:
             length = int.from_bytes(data[at + 4 : at + 8], "big")
             if data[at] != VERSION:
                 raise FrameError(f"version {data[at]} in the common header, not {VERSION}")
-            if length < 8 or length > self.longest:
-                raise FrameError(f"length {length} in the common header; 8 to {self.longest} are allowed")
+            if length < 8 or length > self.max_frame_bytes:
+                raise FrameError(
+                    f"length {length} in the common header; 8 to {self.max_frame_bytes} are allowed"
+                )
             if at + length > size:
                 break
             frames.append(data[at : at + length])
             at += length
-        self.rest = data[at:]
+        self.buffer = data[at:]
         return frames
 
 
@@ -130,33 +138,33 @@
     """One whole frame. MessageError names what is wrong with it."""
     if len(frame) < 8:
         raise MessageError(f"a frame of {len(frame)} octets", PROTOCOL_ERROR)
-    version, _, cls, kind, length = HEADER.unpack_from(frame)
+    version, _, cls, kind, length = HEADER_FORMAT.unpack_from(frame)
     if version != VERSION:
         raise MessageError(f"version {version}, not {VERSION}", INVALID_VERSION)
     if length != len(frame):
         raise MessageError(f"length {length} in a frame of {len(frame)} octets", PROTOCOL_ERROR)
     if (cls, kind) not in NAMES:
-        if cls in KNOWN_CLASSES:
-            raise MessageError(f"type {kind} of class {cls} is not supported", BAD_TYPE)
-        raise MessageError(f"class {cls} is not supported", BAD_CLASS)
+        if cls in SUPPORTED_CLASSES:
+            raise MessageError(f"type {kind} of class {cls} is not supported", UNSUPPORTED_TYPE)
+        raise MessageError(f"class {cls} is not supported", UNSUPPORTED_CLASS)
     parameters: dict[int, bytes] = {}
     at = 8
     while at < length:
         if length - at < 4:
             raise MessageError(f"{length - at} octets after the last parameter", PROTOCOL_ERROR)
-        tag, size = TLV.unpack_from(frame, at)
+        tag, size = PARAMETER_HEADER.unpack_from(frame, at)
         if size < 4 or at + size > length:
             raise MessageError(f"parameter {tag:#06x} with length {size} does not fit", PARAMETER_FIELD_ERROR)
         parameters[tag] = frame[at + 4 : at + size]
         at += (size + 3) & ~3  # the last parameter's padding may be missing: the header's length counts
     if (cls, kind) != DATA:
         return Message((cls, kind), parameters)
-    raw = parameters.get(PROTOCOL)
+    raw = parameters.get(PROTOCOL_DATA_TAG)
     if raw is None:
         raise MessageError("DATA without protocol data", MISSING_PARAMETER)
     if len(raw) < 12:
         raise MessageError(f"protocol data of {len(raw)} octets", PARAMETER_FIELD_ERROR)
-    opc, dpc, si, ni, mp, sls = PROTOCOL_DATA.unpack_from(raw)
+    opc, dpc, si, ni, mp, sls = PROTOCOL_DATA_HEADER.unpack_from(raw)
     context = parameters.get(ROUTING_CONTEXT)
     if context is not None and len(context) != 4:
         raise MessageError(f"DATA with a routing context of {len(context)} octets", INVALID_ROUTING_CONTEXT)
@@ -168,13 +176,15 @@
     """A DATA frame with its routing context first, as RFC 4666, 3.3.1 orders them."""
     size = 16 + len(data.body)
     pad = -size % 4
-    if size + pad > LONGEST - 24:
-        raise LocalError(f"a user part of {len(data.body)} octets")
+    if size + pad > MAX_FRAME_BYTES - 24:
+        raise EncodeError(f"a user part of {len(data.body)} octets")
     if data.routing_context is None:
-        head = HEADER.pack(VERSION, 0, *DATA, 8 + size + pad) + TLV.pack(PROTOCOL, size)
-        head += PROTOCOL_DATA.pack(data.opc, data.dpc, data.si, data.ni, data.mp, data.sls)
+        head = HEADER_FORMAT.pack(VERSION, 0, *DATA, 8 + size + pad) + PARAMETER_HEADER.pack(
+            PROTOCOL_DATA_TAG, size
+        )
+        head += PROTOCOL_DATA_HEADER.pack(data.opc, data.dpc, data.si, data.ni, data.mp, data.sls)
     else:
-        head = DATA_HEAD.pack(
+        head = DATA_HEADER.pack(
             VERSION,
             0,
             1,
@@ -183,7 +193,7 @@
             ROUTING_CONTEXT,
             8,
             data.routing_context,
-            PROTOCOL,
+            PROTOCOL_DATA_TAG,
             size,
             data.opc,
             data.dpc,
@@ -197,25 +207,29 @@
 
 def encode(kind: tuple[int, int], parameters: Iterable[tuple[int, bytes]] = ()) -> bytes:
     body = b"".join(
-        TLV.pack(tag, 4 + len(value)) + value + b"\0" * (-len(value) % 4) for tag, value in parameters
+        PARAMETER_HEADER.pack(tag, 4 + len(value)) + value + b"\0" * (-len(value) % 4)
+        for tag, value in parameters
     )
-    return HEADER.pack(VERSION, 0, *kind, 8 + len(body)) + body
+    return HEADER_FORMAT.pack(VERSION, 0, *kind, 8 + len(body)) + body
 
 
 def uint32(value: int) -> bytes:
     return value.to_bytes(4, "big")
 
 
-def affected(*point_codes: tuple[int, int]) -> bytes:
+def encode_affected(*point_codes: tuple[int, int]) -> bytes:
     """The affected point code parameter from (mask, point code) pairs."""
     return b"".join(bytes([mask]) + code.to_bytes(3, "big") for mask, code in point_codes)
 
 
 def encode_ssnm(kind: tuple[int, int], context: int, mask: int, point_code: int, info: str = "") -> bytes:
     """One SSNM message (DUNA, DAVA, DAUD, DRST, SCON) on one point code, with an info string."""
-    parameters = [(ROUTING_CONTEXT, uint32(context)), (AFFECTED, affected((mask, point_code)))]
+    parameters = [
+        (ROUTING_CONTEXT, uint32(context)),
+        (AFFECTED_POINT_CODE, encode_affected((mask, point_code))),
+    ]
     if info:
-        parameters.append((INFO, info.encode()[:255]))
+        parameters.append((INFO_STRING, info.encode()[:255]))
     return encode(kind, parameters)
 
 
--- a/ospreybridge/signalling/sccp.py
+++ b/ospreybridge/signalling/sccp.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ospreybridge.signalling.errors import LocalError, MessageError
+from ospreybridge.signalling.errors import EncodeError, MessageError
 
 UDT = 0x09
 PEER_SUBSYSTEM, CENTRE_SUBSYSTEM = (
@@ -14,7 +14,7 @@
 def encode(subsystem: int, body: bytes) -> bytes:
     """A unitdata message of at most 254 octets of data between two subsystems of the same number."""
     if not 1 <= len(body) <= 254:
-        raise LocalError(f"unitdata of {len(body)} octets")
+        raise EncodeError(f"unitdata of {len(body)} octets")
     address = bytes((2, 0x42, subsystem))
     return bytes((UDT, 0, 3, 5, 7)) + address + address + bytes((len(body),)) + body
 
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -10,7 +10,7 @@
 from pycrate_mobile.SCCP import parse_SCCP
 
 from ospreybridge.signalling import isup, m3ua, sccp
-from ospreybridge.signalling.errors import FrameError, LocalError, MessageError
+from ospreybridge.signalling.errors import EncodeError, FrameError, MessageError
 from ospreybridge.signalling.isup import IsupMessage
 
 SAMPLES = {
@@ -151,7 +151,7 @@
     splitter, stream, found = m3ua.Splitter(), b"".join(frames), []
     for at in range(0, len(stream), size):
         found += splitter.feed(stream[at : at + size])
-    assert found == frames and splitter.rest == b""
+    assert found == frames and splitter.buffer == b""
 
 
 @pytest.mark.parametrize(
@@ -163,9 +163,9 @@
 
 
 def test_own_messages_are_checked_before_they_leave() -> None:
-    with pytest.raises(LocalError):
+    with pytest.raises(EncodeError):
         isup.encode(IsupMessage(1, isup.IAM, {}))
-    with pytest.raises(LocalError):
+    with pytest.raises(EncodeError):
         isup.encode(IsupMessage(4_096, isup.RLC))
-    with pytest.raises(LocalError):
+    with pytest.raises(EncodeError):
         sccp.encode(sccp.PEER_SUBSYSTEM, b"x" * 255)
