--- a/ospreybridge/settings/server.py
+++ b/ospreybridge/settings/server.py
@@ -1,4 +1,7 @@
-"""Settings of one call server: its exchange, peers with their trunk groups, numbers, classes, timers."""
+"""Settings file of one call server: its exchange, peers, trunk groups, number prefixes, classes and timers.
+
+The `*_SPEC` tables state the nodes and properties of the file; `load` checks what concerns several nodes.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +29,11 @@
 )
 
 MILLISECONDS = number(0, 4e9)
-POINT_CODE = integer(0, 16_383)
+POINT_CODE = integer(0, 16_383)  # 14 bits
 
 
 def dns_name(value: Any) -> str:
+    """Converter for a DNS name, to lower case."""
     label = "[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
     if not isinstance(value, str) or not re.fullmatch(rf"{label}([.]{label})*", value.lower()):
         raise ValueError('a DNS name such as "cs2.example.net"')
@@ -41,73 +45,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """The far end of one association. `cics` is empty where it has no trunk group."""
+    """The far end of one association. `cics` is empty if there is no trunk group to it."""
 
     name: str
     role: str  # exchange, office (the own exchange's lines), callers, list, centre
     point_code: int
     routing_context: int
     number: int = -1
-    zone: int = 0
-    dial_address: tuple[str, int] | None = None  # where we dial it; None: it dials us
+    zone: int = 0  # index in the sorted zone names of the file
+    dial_address: tuple[str, int] | None = None  # None: the peer dials this server
     cics: tuple[int, ...] = ()
-    tls_name: str = ""  # DNS name its certificate must show; empty: plain, as the settings say
-    wildcard: bool = False  # the certificate may show *.rest for it
+    tls_name: str = ""  # DNS name that its certificate must contain; empty: a plain peer
+    wildcard: bool = False  # a wildcard certificate (*.example.net) is accepted
 
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """Where the own set lies, and the bounds of handshakes, tickets and links. Times in milliseconds."""
+    """Paths of the own key set; bounds of handshakes, session tickets and links. Times in milliseconds."""
 
     paths: CredentialPaths
-    name: str = ""  # what the own certificate must say; empty: anything
+    name: str = ""  # DNS name that the own certificate must contain; empty: any
     listen: tuple[str, int] | None = None
-    allow_12: bool = False
-    warn_days: tuple[float, ...] = (30.0, 14.0, 7.0, 3.0, 1.0)
-    ticket_age: float = 3_600_000.0  # of a session, and between changes of the ticket keys; 0: no tickets
-    link_age: float = 86_400_000.0  # before a standing link moves over to a new association
-    spread: float = 60_000.0  # over which links move after the set was replaced
-    slots: int = 64  # handshakes in progress that came in
-    check_every: float = 60_000.0  # between looks at the files and at the dates
+    allow_12: bool = False  # TLS 1.2 beside 1.3
+    warn_days: tuple[float, ...] = (30.0, 14.0, 7.0, 3.0, 1.0)  # before expiry
+    ticket_age: float = 3_600_000.0  # lifetime of a session and of the ticket keys; 0: no tickets
+    link_age: float = 86_400_000.0  # before an established link moves to a new association
+    spread: float = 60_000.0  # period over which the links move after the key set was replaced
+    slots: int = 64  # incoming handshakes in progress at once
+    check_every: float = 60_000.0  # interval of checks of the files and of expiry dates
 
 
 @dataclass(frozen=True, slots=True)
 class TimerSettings:
-    """Q.764 timers and those of the associations, all in milliseconds, with the recommendation's values."""
-
-    t1: float = 15_000.0  # REL is sent again
-    t5: float = 300_000.0  # REL without RLC: the circuit is reset
-    t7: float = 25_000.0  # IAM to the own office without ACM
-    t9: float = 120_000.0  # ACM without ANM
-    t12: float = 15_000.0  # BLO, UBL, CGB, CGU are sent again
-    t16: float = 15_000.0  # RSC is sent again
-    t22: float = 15_000.0  # GRS is sent again
-    heartbeat: float = 2_000.0  # silence before a BEAT; three of these end the association
+    """Q.764 timers, with the recommendation's values, and those of the associations. All in milliseconds."""
+
+    t1: float = 15_000.0  # REL is repeated
+    t5: float = 300_000.0  # no RLC after REL: the circuit is reset
+    t7: float = 25_000.0  # no ACM after an IAM to the own office
+    t9: float = 120_000.0  # no ANM after ACM
+    t12: float = 15_000.0  # BLO, UBL, CGB, CGU are repeated
+    t16: float = 15_000.0  # RSC is repeated
+    t22: float = 15_000.0  # GRS is repeated
+    heartbeat: float = 2_000.0  # silence before a BEAT is sent; three times that ends the association
     redial: float = 500.0  # before a lost association is dialled again
-    handshake: float = 5_000.0  # from the connect to an active association
-    report: float = 1_000.0  # between reports of free circuits to the centre
+    handshake: float = 5_000.0  # from connecting to an active association
+    report: float = 1_000.0  # interval of reports of free circuits to the centre
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
+    """Which calls belong to a class: by calling party's category or by prefix of the called number."""
+
     categories: tuple[int, ...]
     called_prefixes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
+    """The checked settings of one call server. Times in milliseconds.
+
+    A reload logs the names of the fields that changed.
+    """
+
     name: str
-    number: int
+    number: int  # of the own exchange
     point_code: int
-    zone: int
+    zone: int  # index in the sorted zone names of the file
     listen: tuple[str, int] | None
     network: int  # network indicator, 0 to 3
     peers: tuple[Peer, ...]
     classes: tuple[interface.CallClass, ...]
-    class_rules: tuple[ClassRule, ...]
+    class_rules: tuple[ClassRule, ...]  # in the order of `classes`
     tenants: tuple[interface.Tenant, ...]
-    tenant_prefixes: dict[str, int]
-    prefixes: dict[str, int]
+    tenant_prefixes: dict[str, int]  # index of the tenant by prefix of the calling number
+    prefixes: dict[str, int]  # exchange number by prefix of the called number
     rules: interface.Rules
     limits: interface.Limits
     goal: interface.Goal
@@ -116,14 +127,16 @@
     over_share_worth: float = 1.0
     advice: bool = False
     stop_within: float = 10_000.0
-    out_buffer: int = 1 << 20
-    answer_margin: float = 100.0  # ms of a caller's time kept for the answer's way, a tenth of it at most
+    out_buffer: int = 1 << 20  # unsent octets queued for a peer before its connection is closed
+    answer_margin: float = (
+        100.0  # part of a caller's time kept for the answer's return; at most a tenth of it
+    )
     seed: int = 0
-    path: str = ""
+    path: str = ""  # of the settings file
     tls: TlsSettings | None = None
 
     def controller_settings(self) -> interface.Settings:
-        """What the module is told at its start."""
+        """The controller's settings."""
         return interface.Settings(
             classes=self.classes,
             tenants=self.tenants,
@@ -253,14 +266,14 @@
 
 
 def parse_cic_ranges(ranges: list[str]) -> tuple[int, ...]:
-    """CICs of ranges such as "1-31"; slot 0 of each 32 is no circuit in a 2048 kbit/s multiplex."""
-    found: set[int] = set()
+    """CICs of ranges such as "1-31", without time slot 0 of each 2048 kbit/s multiplex of 32."""
+    cics: set[int] = set()
     for item in ranges:
         low, _, high = item.partition("-")
         if not low.isdigit() or not (high or low).isdigit() or not 0 < int(low) <= int(high or low) < 4_096:
             raise ValueError(f'"FIRST-LAST" of 1 to 4095, found {item!r}')
-        found |= {cic for cic in range(int(low), int(high or low) + 1) if cic & 31}
-    return tuple(sorted(found))
+        cics |= {cic for cic in range(int(low), int(high or low) + 1) if cic & 31}
+    return tuple(sorted(cics))
 
 
 def _properties_or_defaults(spec: NodeSpec, node: ParsedNode | None) -> dict[str, Any]:
@@ -268,7 +281,7 @@
 
 
 def _tls_settings(node: ParsedNode | None, folder: Path) -> TlsSettings | None:
-    """Paths are taken from the folder of the settings file."""
+    """The `tls` node; its paths are relative to the folder of the settings file."""
     if node is None:
         return None
     paths = {name: folder / node[name] for name in ("certificate", "key", "trust", "revoked") if node[name]}
@@ -283,7 +296,7 @@
 
 
 def load(path: Path) -> ServerSettings:
-    """The whole file, checked; SettingsError names every fault."""
+    """Reads and checks a settings file; SettingsError holds all errors found."""
     reader = Reader(path)
     document = reader.read(SERVER_SPEC)
     own_node = document.first_child("exchange")
@@ -292,8 +305,8 @@
     if not document.children_named("class"):
         reader.add_error(1, "class", "at least one is needed")
     for name in ("rules", "limits", "goal", "timers", "module", "stop", "link", "tls"):
-        for extra in document.children_named(name)[1:]:
-            reader.add_error(extra.line, name, "stands more than once")
+        for duplicate in document.children_named(name)[1:]:
+            reader.add_error(duplicate.line, name, "occurs more than once")
     reader.raise_errors()
     assert own_node is not None
     zones = sorted({node["zone"] for node in [own_node, *document.children_named("peer")]})
@@ -304,14 +317,14 @@
 
     def check_unique(node: ParsedNode, key: str, value: Any) -> None:
         if (key, value) in seen:
-            reader.add_error(node.line, f"peer {key}", f"{value} stands already in line {seen[key, value]}")
+            reader.add_error(node.line, f"peer {key}", f"{value} is already used in line {seen[key, value]}")
         seen[key, value] = node.line
 
     def add_prefixes(node: ParsedNode, exchange: int) -> None:
         for prefix in node.all_arguments("prefix"):
             if prefix in prefixes:
                 reader.add_error(
-                    node.line, "prefix", f"{prefix} leads to exchange {prefixes[prefix]} already"
+                    node.line, "prefix", f"{prefix} is already routed to exchange {prefixes[prefix]}"
                 )
             prefixes[prefix] = exchange
 
@@ -322,7 +335,7 @@
         check_unique(node, "context", node["context"])
         if node["role"] == "exchange":
             if node["number"] < 0:
-                reader.add_error(node.line, "peer number", "missing for an exchange")
+                reader.add_error(node.line, "peer number", "required for role exchange")
             check_unique(node, "number", node["number"])
             add_prefixes(node, node["number"])
         if bool(node["tls"]) == node["plain"]:
@@ -348,7 +361,7 @@
             )
         )
     if sum(peer.role == "office" for peer in peers) > 1:
-        reader.add_error(own_node.line, "peer", "only one office: the own exchange's lines")
+        reader.add_error(own_node.line, "peer", "at most one peer with role office, the own exchange's lines")
     classes, class_rules = [], []
     for node in document.children_named("class"):
         if node["deadline"] < node["on-time"]:
@@ -372,7 +385,9 @@
         tenants.append(interface.Tenant(node["quota"], node["share"], node.argument))
         for prefix in node.all_arguments("calling-prefix"):
             if prefix in tenant_prefixes:
-                reader.add_error(node.line, "tenant calling-prefix", f"{prefix} is another tenant's already")
+                reader.add_error(
+                    node.line, "tenant calling-prefix", f"{prefix} already belongs to another tenant"
+                )
             tenant_prefixes[prefix] = index
     rules = _properties_or_defaults(SERVER_SPEC.children["rules"], document.first_child("rules"))
     limits = _properties_or_defaults(SERVER_SPEC.children["limits"], document.first_child("limits"))
@@ -422,7 +437,7 @@
         tls=_tls_settings(document.first_child("tls"), path.parent),
     )
     if any(peer.dial_address is None and not peer.tls_name for peer in peers) and server.listen is None:
-        reader.add_error(own_node.line, "exchange listen", "missing: some plain peer has no dial address")
+        reader.add_error(own_node.line, "exchange listen", "required: a plain peer has no dial address")
     for node, peer in zip(document.children_named("peer"), peers, strict=True):
         if peer.tls_name and (
             server.tls is None or (peer.dial_address is None and server.tls.listen is None)
