--- a/ospreybridge/settings/__init__.py
+++ b/ospreybridge/settings/__init__.py
@@ -1,1 +1,1 @@
-"""KDL in, checked objects out; an error names file, line, key and what was expected."""
+"""Settings files read into checked objects; an error states file, place, key and what was expected."""
--- a/ospreybridge/settings/errors.py
+++ b/ospreybridge/settings/errors.py
@@ -1,10 +1,10 @@
-"""The one error that settings of any form end in."""
+"""The error raised for settings of any format that can't be used."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """All faults of a file, one a line: file, place, key, what was expected."""
+    """All errors of a file, one string each: file and position, key, what was expected."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("\n".join(errors))
--- a/ospreybridge/settings/reader.py
+++ b/ospreybridge/settings/reader.py
@@ -1,4 +1,7 @@
-"""Reads a KDL document against a table of nodes and collects every fault before anything is used."""
+"""Reads a KDL document, checks it against a table of nodes and collects all errors.
+
+The functions from `text` to `address` are converters, or make one, for the values of a `ValueSpec`.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +17,13 @@
 
 from ospreybridge.settings.errors import SettingsError
 
-Converter = Callable[[Any], Any]  # a KDL value to ours; ValueError says what was expected
+Converter = Callable[[Any], Any]  # from a KDL value; its ValueError states the expectation
 
 
 @dataclass(frozen=True, slots=True)
 class ValueSpec:
+    """How an argument or property is converted, and what stands for it when absent or invalid."""
+
     convert: Converter
     default: Any = None
     required: bool = False
@@ -26,20 +31,20 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """What a node may hold: one argument (or several), properties by key, children by name."""
+    """What a node may contain: one or several arguments, properties by key, child nodes by name."""
 
     argument: ValueSpec | None = None
     properties: Mapping[str, ValueSpec] = field(default_factory=dict)
     children: Mapping[str, NodeSpec] = field(default_factory=dict)
-    many_arguments: bool = False  # arguments, not one
+    many_arguments: bool = False  # `argument` applies to each
 
 
 @dataclass(slots=True)
 class ParsedNode:
-    """A checked node: its line, its argument(s), its properties with defaults filled in, its children."""
+    """A checked node, with the defaults of absent properties filled in."""
 
     line: int
-    argument: Any
+    argument: Any  # None if absent; a list if the node takes several
     properties: dict[str, Any]
     children: dict[str, list[ParsedNode]]
 
@@ -47,29 +52,36 @@
         return self.properties[key]
 
     def children_named(self, name: str) -> list[ParsedNode]:
+        """Child nodes of this name, in the order of the file."""
         return self.children.get(name, [])
 
     def first_child(self, name: str) -> ParsedNode | None:
-        found = self.children.get(name)
-        return found[0] if found else None
+        """The first child node of this name, or None."""
+        nodes = self.children.get(name)
+        return nodes[0] if nodes else None
 
     def all_arguments(self, name: str) -> list[Any]:
+        """Arguments of all child nodes of this name, which must take several."""
         return [value for node in self.children_named(name) for value in node.argument]
 
 
 def text(value: Any) -> str:
+    """A string that is not empty."""
     if not isinstance(value, str) or not value:
-        raise ValueError("a text")
+        raise ValueError("a non-empty string")
     return value
 
 
 def flag(value: Any) -> bool:
+    """A boolean."""
     if not isinstance(value, bool):
         raise ValueError("true or false")
     return value
 
 
 def number(low: float, high: float) -> Converter:
+    """A converter for numbers from `low` to `high`."""
+
     def convert(value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
             raise ValueError(f"a number from {low:g} to {high:g}")
@@ -79,9 +91,11 @@
 
 
 def integer(low: int, high: int) -> Converter:
+    """A converter for whole numbers from `low` to `high`; 3.0 counts as whole."""
+
     def convert(value: Any) -> int:
-        whole_number = isinstance(value, int | float) and not isinstance(value, bool) and value == int(value)
-        if not whole_number or not low <= value <= high:
+        is_whole = isinstance(value, int | float) and not isinstance(value, bool) and value == int(value)
+        if not is_whole or not low <= value <= high:
             raise ValueError(f"a whole number from {low} to {high}")
         return int(value)
 
@@ -89,12 +103,15 @@
 
 
 def digits(value: Any) -> str:
+    """A string of at most 15 digits, the longest E.164 number."""
     if not isinstance(value, str) or not value.isdigit() or len(value) > 15:
-        raise ValueError("digits in quotes, at most 15")
+        raise ValueError("a quoted string of at most 15 digits")
     return value
 
 
 def choice(*names: str) -> Converter:
+    """A converter that accepts one of the names."""
+
     def convert(value: Any) -> str:
         if value not in names:
             raise ValueError("one of " + ", ".join(names))
@@ -104,6 +121,7 @@
 
 
 def address(value: Any) -> tuple[str, int]:
+    """Host and port of a string such as "10.0.0.1:2905"."""
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > 65_535:
         raise ValueError('"host:port"')
@@ -111,15 +129,21 @@
 
 
 class Reader:
+    """Reads one file and collects its errors."""
+
     def __init__(self, path: Path) -> None:
         self.path = path
         self.errors: list[str] = []
 
     def add_error(self, line: int, key: str, expectation: str) -> None:
+        """Records an error; `key`: name of the node and property, `expectation`: what should be there."""
         self.errors.append(f"{self.path}:{line}: {key}: {expectation}")
 
     def read(self, spec: NodeSpec) -> ParsedNode:
-        """The whole document as one part; faults are collected, call `check` when done."""
+        """The document as one node. Errors in it are only recorded: call `raise_errors` when done.
+
+        Raises SettingsError if the file can't be read or isn't KDL.
+        """
         try:
             source = self.path.read_text()
         except (OSError, UnicodeDecodeError) as error:
@@ -134,12 +158,13 @@
         try:
             document = Parser().parse(source, ParseConfig(nodeConverters={None: record_line}))
         except ParseError as error:
-            at = f"{self.path}:{error.line}:{error.col}"
-            raise SettingsError([f"{at}: not KDL: {error.msg.splitlines()[-1].strip()}"]) from None
+            position = f"{self.path}:{error.line}:{error.col}"
+            raise SettingsError([f"{position}: not KDL: {error.msg.splitlines()[-1].strip()}"]) from None
         children = self._check_children("", 1, document.nodes, spec, lines)
         return ParsedNode(1, None, {}, children)
 
     def raise_errors(self) -> None:
+        """Raises SettingsError if any error was recorded."""
         if self.errors:
             raise SettingsError(self.errors)
 
@@ -151,8 +176,8 @@
             key = f"{prefix}{node.name}"
             child_spec = spec.children.get(node.name)
             if child_spec is None:
-                known = ", ".join(sorted(spec.children)) or "nothing"
-                self.add_error(lines[id(node)], key, f"unknown; expected {known}")
+                allowed = ", ".join(sorted(spec.children)) or "nothing"
+                self.add_error(lines[id(node)], key, f"unknown; expected {allowed}")
             else:
                 children.setdefault(node.name, []).append(self._check_node(key, node, child_spec, lines))
         return children
@@ -165,12 +190,12 @@
         elif spec.argument is not None and not spec.many_arguments and len(arguments) > 1:
             self.add_error(line, key, "takes one argument")
         elif spec.argument is not None and spec.argument.required and not arguments:
-            self.add_error(line, key, "an argument is missing")
+            self.add_error(line, key, "argument missing")
         properties = {}
         for name, value in node.props.items():
             if name not in spec.properties:
-                known = ", ".join(sorted(spec.properties)) or "none"
-                self.add_error(line, f"{key} {name}", f"unknown; expected {known}")
+                allowed = ", ".join(sorted(spec.properties)) or "none"
+                self.add_error(line, f"{key} {name}", f"unknown; expected {allowed}")
             else:
                 properties[name] = self._convert_value(line, f"{key} {name}", spec.properties[name], value)
         for name, value_spec in spec.properties.items():
