--- a/tests/decode.py
+++ b/tests/decode.py
@@ -1,4 +1,4 @@
-"""Reads a capture of exported PDUs with pycrate, which shares nothing with this program's codecs.
+"""Decodes a capture of exported PDUs with pycrate, independently of the router's own codecs.
 
 Run: python -m tests.decode FILE.pcapng
 """
@@ -15,11 +15,14 @@
 from pycrate_mobile.M3UA import parse_M3UA
 from pycrate_mobile.SCCP import parse_SCCP
 
-HEADER = 52  # octets of tags before the frame
+HEADER_BYTES = 52  # exported-PDU tags before the frame
 
 
 def decode(path: Path, every: int = 1) -> tuple[Counter[str], list[str]]:
-    """Messages by name, and those that can't be read; `every` nth frame only, as the decoder is slow."""
+    """Number of messages by name, and the malformed frames in hex.
+
+    `every`: only each nth frame is decoded, as pycrate is slow.
+    """
     names: Counter[str] = Counter()
     malformed = []
     with path.open("rb") as stream:
@@ -28,13 +31,13 @@
             names["frames"] += 1
             if index % every:
                 continue
-            frame = packet.packet_data[HEADER:]
-            message, wrong = parse_M3UA(frame)
-            if not wrong and frame[2:4] == b"\1\1":
-                part = message["ParamsDATA"][-1]["Val"]
-                parse = parse_ISUP if part["SI"].get_val() == 5 else parse_SCCP
-                message, wrong = parse(part["Data"].get_val())
-            if wrong:
+            frame = packet.packet_data[HEADER_BYTES:]
+            message, error = parse_M3UA(frame)
+            if not error and frame[2:4] == b"\1\1":
+                protocol_data = message["ParamsDATA"][-1]["Val"]
+                parse = parse_ISUP if protocol_data["SI"].get_val() == 5 else parse_SCCP
+                message, error = parse(protocol_data["Data"].get_val())
+            if error:
                 malformed.append(frame.hex())
             else:
                 names[type(message).__name__] += 1
@@ -42,8 +45,8 @@
 
 
 if __name__ == "__main__":
-    found, bad = decode(Path(sys.argv[1]))
-    print(f"{found.pop('frames')} frames, {len(bad)} malformed")
-    for name, count in found.most_common():
+    counts, malformed = decode(Path(sys.argv[1]))
+    print(f"{counts.pop('frames')} frames, {len(malformed)} malformed")
+    for name, count in counts.most_common():
         print(f"{count:>8}  {name}")
-    sys.exit(bool(bad))
+    sys.exit(bool(malformed))
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -1,4 +1,4 @@
-"""Codecs: an independent decoder reads what goes out; any bytes end in a message or a named error."""
+"""Codecs: an independent decoder reads every encoded message; any bytes decode or raise a known error."""
 
 from __future__ import annotations
 
@@ -40,6 +40,7 @@
 
 
 def sample(kind: int) -> IsupMessage:
+    """A message of this type with all mandatory parameters, and all of OPTIONS if it may have any."""
     fixed, variable, options = isup.LAYOUT[kind]
     given = {code: SAMPLES[code] for code in (*(code for code, _ in fixed), *variable)}
     if kind in (isup.GRS, isup.CQM):
@@ -52,9 +53,9 @@
     message = sample(kind)
     octets = isup.encode(message)
     assert isup.decode(octets) == message
-    theirs, wrong = parse_ISUP(octets)
-    assert wrong == 0 and theirs["CIC"].get_val() == 2_047 and theirs["Type"].get_val() == kind
-    assert theirs.to_bytes() == octets  # every octet has a place in their structure too
+    parsed, error = parse_ISUP(octets)
+    assert error == 0 and parsed["CIC"].get_val() == 2_047 and parsed["Type"].get_val() == kind
+    assert parsed.to_bytes() == octets  # pycrate has accounted for every octet
 
 
 M3UA_FRAMES = [
@@ -83,47 +84,47 @@
 
 @pytest.mark.parametrize("frame", M3UA_FRAMES, ids=[m3ua.NAMES[f[2], f[3]] for f in M3UA_FRAMES])
 def test_an_independent_decoder_reads_every_m3ua_message(frame: bytes) -> None:
-    theirs, wrong = parse_M3UA(frame)
-    assert wrong == 0 and theirs.to_bytes() == frame
-    ours = m3ua.decode(frame)
-    again = (
-        m3ua.encode_data(ours)
-        if isinstance(ours, m3ua.Data)
-        else m3ua.encode(ours.kind, ours.parameters.items())
+    parsed, error = parse_M3UA(frame)
+    assert error == 0 and parsed.to_bytes() == frame
+    message = m3ua.decode(frame)
+    encoded_again = (
+        m3ua.encode_data(message)
+        if isinstance(message, m3ua.Data)
+        else m3ua.encode(message.kind, message.parameters.items())
     )
-    assert again == frame
+    assert encoded_again == frame
 
 
 def test_an_independent_decoder_reads_unitdata() -> None:
     octets = sccp.encode(sccp.PEER_SUBSYSTEM, b"\1\2news")
-    theirs, wrong = parse_SCCP(octets)
-    assert wrong == 0 and theirs.to_bytes() == octets
+    parsed, error = parse_SCCP(octets)
+    assert error == 0 and parsed.to_bytes() == octets
     assert sccp.decode(octets) == (sccp.PEER_SUBSYSTEM, b"\1\2news")
 
 
 @pytest.mark.parametrize("digits", ["3", "37", "372555", "3725551", "123456789012345"])
-def test_numbers_come_back(digits: str) -> None:
+def test_numbers_decode_to_what_was_encoded(digits: str) -> None:
     assert isup.decode_called_number(isup.encode_called_number(digits)) == digits
     assert isup.decode_calling_number(isup.encode_calling_number(digits)) == digits
 
 
-def test_a_circuit_map_names_the_slots_of_one_multiplex() -> None:
+def test_a_circuit_map_holds_the_time_slots_of_one_multiplex() -> None:
     assert isup.decode_circuit_map(64 + 3, isup.encode_circuit_map((67, 70))) == (67, 70)
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_message_or_a_named_error(body: bytes) -> None:
-    for read in (isup.decode, m3ua.decode, sccp.decode):
+def test_any_bytes_decode_or_raise_message_error(body: bytes) -> None:
+    for decode in (isup.decode, m3ua.decode, sccp.decode):
         try:
-            read(body)
+            decode(body)
         except MessageError as error:
             assert str(error)
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.sampled_from(sorted(isup.LAYOUT)), st.data())
-def test_a_damaged_message_is_read_or_named(kind: int, data: st.DataObject) -> None:
+def test_a_damaged_message_decodes_or_raises_message_error(kind: int, data: st.DataObject) -> None:
     octets = bytearray(isup.encode(sample(kind)))
     octets[data.draw(st.integers(3 if len(octets) > 3 else 0, len(octets) - 1))] = data.draw(
         st.integers(0, 255)
@@ -133,36 +134,36 @@
     except MessageError as error:
         assert str(error)
         return
-    for code, read in (
+    for code, decode in (
         (isup.CALLED_NUMBER, isup.decode_called_number),
         (isup.CAUSE_INDICATORS, isup.decode_cause),
         (isup.RANGE_STATUS, isup.decode_range_status),
     ):
         if code in message.parameters:
             try:
-                read(message.parameters[code])
+                decode(message.parameters[code])
             except MessageError as error:
                 assert str(error)
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.sampled_from(M3UA_FRAMES), max_size=8), st.integers(1, 40))
-def test_frames_are_found_however_the_stream_is_cut(frames: list[bytes], size: int) -> None:
-    splitter, stream, found = m3ua.Splitter(), b"".join(frames), []
+def test_a_stream_is_cut_into_frames_whatever_its_segments(frames: list[bytes], size: int) -> None:
+    splitter, stream, received = m3ua.Splitter(), b"".join(frames), []
     for at in range(0, len(stream), size):
-        found += splitter.feed(stream[at : at + size])
-    assert found == frames and splitter.buffer == b""
+        received += splitter.feed(stream[at : at + size])
+    assert received == frames and splitter.buffer == b""
 
 
 @pytest.mark.parametrize(
     "head", [b"\2\0\1\1\0\0\0\x10", b"\1\0\1\1\xff\xff\xff\xff", b"\1\0\1\1\0\0\0\7", b"GET / HT"]
 )
-def test_a_stream_without_borders_is_refused_at_once(head: bytes) -> None:
+def test_an_invalid_common_header_is_refused_at_once(head: bytes) -> None:
     with pytest.raises(FrameError):
         m3ua.Splitter().feed(head + b"\0" * 8)
 
 
-def test_own_messages_are_checked_before_they_leave() -> None:
+def test_invalid_messages_are_not_encoded() -> None:
     with pytest.raises(EncodeError):
         isup.encode(IsupMessage(1, isup.IAM, {}))
     with pytest.raises(EncodeError):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,7 @@
-"""Failures on real loopback sockets; each ends with every circuit found again and no call answered twice."""
+"""Failures of links, offices and call servers on real loopback sockets.
+
+Guards against circuits that stay seized after a failure, calls answered twice, and faults at the stand-ins.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,11 @@
 
 
 def answered(counts: dict[str, int]) -> int:
+    """Number of calls answered, in time or late."""
     return counts.get("in time", 0) + counts.get("late", 0)
 
 
-def test_a_whole_path_and_back(tmp_path: Path) -> None:
+def test_calls_between_all_exchanges_are_answered_and_released(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         for serial in range(12):
             f.call(1 + serial % 3, 1 + (serial + 1) % 3, serial)
@@ -27,7 +31,7 @@
         assert not any(end.faults for end in [*f.offices.values(), *f.callers.values()])
 
 
-def test_full_groups_overflow_over_a_tandem_whose_own_module_sends_them_on(tmp_path: Path) -> None:
+def test_full_trunk_group_overflows_over_a_tandem_whose_own_controller_routes_on(tmp_path: Path) -> None:
     with fleet(tmp_path, group=4) as f:
         for serial in range(4):
             f.call(1, 2, serial)
@@ -47,9 +51,9 @@
         f.call(1, 2, 1)
         f.run_until(lambda: f.call_servers[2].finals["stands"] == 1 and len(f.call_servers[2].calls) == 2)
         f.fronts[1].links[2].current.drop("cut by the test")
-        f.run_until(lambda: f.tally["cut"] == 1)  # the standing call is gone
+        f.run_until(lambda: f.tally["cut"] == 1)  # the established call is lost
         f.offices[2].hung = False
-        f.run_until(lambda: answered(f.tally) == 2)  # the pending one is set up anew
+        f.run_until(lambda: answered(f.tally) == 2)  # the pending one is set up again
         assert f.call_servers[1].finals["stands"] == 2
         f.run_until(lambda: 2 in f.call_servers[1].links and f.call_servers[1].groups[2].free >= 5)
         f.hang_up_all()
@@ -61,8 +65,8 @@
         f.offices[2].slow = 2_000.0  # about a second
         f.call(1, 2, 0)
         f.run_until(lambda: len(f.call_servers[2].calls) == 1)
-        wish = next(iter(f.callers[1].on.values()))
-        f.callers[1]._hang_up(f.loop.now, wish)
+        call = next(iter(f.callers[1].on.values()))
+        f.callers[1]._hang_up(f.loop.now, call)
         f.run_until(f.all_circuits_free)
         f.loop.run_until(lambda: f.offices[2].free_at < f.loop.now, 5_000)
         f.loop.run_until(lambda: False, 100)
@@ -71,15 +75,15 @@
 
 
 def test_rel_crosses_acm(tmp_path: Path) -> None:
-    """The caller hangs up just as the answer is on its way, many times; none ends up on both sides."""
+    """The caller hangs up while the answer is on its way: both sides must agree that the call has ended."""
     with fleet(tmp_path) as f:
         for serial in range(40):
             f.call(1, 2, serial)
-            turns = serial % 8
-            for _ in range(turns):
+            loop_runs = serial % 8
+            for _ in range(loop_runs):
                 f.loop.run_once(1.0)
-            for wish in list(f.callers[1].on.values()):
-                f.callers[1]._hang_up(f.loop.now, wish)
+            for call in list(f.callers[1].on.values()):
+                f.callers[1]._hang_up(f.loop.now, call)
             f.run_until(f.all_circuits_free)
         assert not f.callers[1].faults and not f.offices[2].faults
 
@@ -87,17 +91,17 @@
 def test_dual_seizure_on_every_circuit_at_once(tmp_path: Path) -> None:
     with fleet(tmp_path, size=2, group=8) as f:
         for round_ in range(3):
-            done = answered(f.tally)
+            before = answered(f.tally)
             for serial in range(4):
                 f.call(1, 2, round_ * 20 + serial)
                 f.call(2, 1, round_ * 20 + 10 + serial)
-            f.run_until(lambda n=done: answered(f.tally) == n + 8)  # type: ignore[misc]
+            f.run_until(lambda n=before: answered(f.tally) == n + 8)  # type: ignore[misc]
             f.hang_up_all()
             f.run_until(f.all_circuits_free)
         assert f.tally["unserved"] == 0
 
 
-def test_a_killed_call_server_finds_its_circuits_again_and_no_call_is_answered_twice(tmp_path: Path) -> None:
+def test_a_restarted_call_server_regains_its_circuits_and_no_call_is_answered_twice(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         for serial in range(4):
             f.call(1, 2, serial)
@@ -113,7 +117,7 @@
         f.run_until(lambda: answered(f.tally) == 9)
 
 
-def test_a_tandem_drains_in_the_middle_of_a_set_up(tmp_path: Path) -> None:
+def test_a_tandem_drains_during_a_set_up(tmp_path: Path) -> None:
     with fleet(tmp_path, group=4) as f:
         for serial in range(4):
             f.call(1, 2, serial)
@@ -122,15 +126,15 @@
         f.call(1, 2, 4)  # over exchange 3
         f.run_until(lambda: len(f.call_servers[3].calls) == 1)
         f.exchange_list.change(3, m3ua.DRST)
-        f.run_until(lambda: answered(f.tally) == 5)  # it stands all the same
+        f.run_until(lambda: answered(f.tally) == 5)  # the set-up in progress still succeeds
         f.loop.run_until(lambda: False, 300.0)
         before = f.call_servers[3].last_ref
         f.call(1, 2, 5)
         f.run_until(lambda: f.tally["unserved"] == 1, 12_000)
-        assert f.call_servers[3].last_ref == before  # nothing new went to it
+        assert f.call_servers[3].last_ref == before  # no new attempt went over it
 
 
-def test_half_a_frame_and_then_silence_ends_that_connection_only(tmp_path: Path) -> None:
+def test_an_incomplete_frame_followed_by_silence_ends_that_connection_only(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         sock = connect(f.ports[1])
         sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(2_001))])[:11])
@@ -150,13 +154,13 @@
         return True
 
 
-def test_a_peer_that_never_reads_is_dropped_and_harms_nobody(tmp_path: Path) -> None:
+def test_a_peer_that_never_reads_is_dropped_without_harm_to_others(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         channel = f.channel(1, 2)
         channel.stream.max_unsent_bytes = 20_000
-        far = f.channel(2, 1)
-        f.loop.readers.pop(far.stream.fd)  # exchange 2 stops reading
-        f.loop._mask(far.stream.fd)
+        far_channel = f.channel(2, 1)
+        f.loop.readers.pop(far_channel.stream.fd)  # exchange 2 stops reading
+        f.loop._mask(far_channel.stream.fd)
         for _ in range(200_000):
             if channel.stream.closed:
                 break
@@ -176,37 +180,37 @@
     ],
     ids=["wrong version", "4 GiB", "http"],
 )
-def test_garbage_ends_its_own_connection_with_err(tmp_path: Path, garbage: bytes) -> None:
+def test_an_invalid_stream_gets_err_and_ends_its_own_connection_only(tmp_path: Path, garbage: bytes) -> None:
     with fleet(tmp_path) as f:
         f.call(1, 2, 0)
         sock = connect(f.ports[1])
         sock.send(garbage)
-        got = bytearray()
+        received = bytearray()
 
-        def ended() -> bool:
+        def closed() -> bool:
             try:
                 data = sock.recv(4_096)
             except BlockingIOError:
                 return False
             except ConnectionError:
                 return True
-            got.extend(data)
+            received.extend(data)
             return not data
 
-        f.run_until(ended)
+        f.run_until(closed)
         sock.close()
-        message = m3ua.decode(m3ua.Splitter().feed(bytes(got))[0])
+        message = m3ua.decode(m3ua.Splitter().feed(bytes(received))[0])
         assert isinstance(message, m3ua.Message) and message.kind == m3ua.ERR
         f.run_until(lambda: answered(f.tally) == 1)
 
 
-def test_strangers_and_wrong_contexts_get_err_and_harm_no_call(tmp_path: Path) -> None:
+def test_unknown_identifiers_and_routing_contexts_get_err_without_harm_to_calls(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         codes: list[int | None] = []
         sock = connect(f.ports[1])
         splitter = m3ua.Splitter()
 
-        def heard(count: int) -> bool:
+        def received_errors(count: int) -> bool:
             try:
                 frames = splitter.feed(sock.recv(4_096))
             except BlockingIOError:
@@ -217,9 +221,13 @@
                     codes.append(message.integer(m3ua.ERROR_CODE))
             return len(codes) >= count
 
-        body = m3ua.encode_data(m3ua.Data(77, 1, 5, 2, 0, 1, b"\1\0\x12", 5))
-        sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(77))]) + m3ua.encode(m3ua.ASPUP) + body)
-        f.run_until(lambda: heard(3))
+        unexpected_data = m3ua.encode_data(m3ua.Data(77, 1, 5, 2, 0, 1, b"\1\0\x12", 5))
+        sock.send(
+            m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(77))])
+            + m3ua.encode(m3ua.ASPUP)
+            + unexpected_data
+        )
+        f.run_until(lambda: received_errors(3))
         assert codes == [m3ua.INVALID_ASP_ID, m3ua.ASP_ID_REQUIRED, m3ua.UNEXPECTED_MESSAGE]
         sock.close()
         association = f.callers[1].association
@@ -233,8 +241,8 @@
         f.run_until(lambda: answered(f.tally) == 1)
 
 
-def test_clock_jumps_break_nothing(tmp_path: Path) -> None:
-    """The clock leaps a second ahead and then back: timers run once, time in the core never goes back."""
+def test_clock_jumps_are_tolerated(tmp_path: Path) -> None:
+    """The clock jumps ahead by 1 s, then back by 0.5 s: calls go on, the loop's time never goes back."""
     shift = 0.0
 
     def clock() -> float:
@@ -255,7 +263,7 @@
         f.run_until(f.all_circuits_free)
 
 
-def test_confusion_is_answered_and_calls_go_on(tmp_path: Path) -> None:
+def test_unreadable_isup_messages_are_answered_by_cfn_and_calls_go_on(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
         f.call(1, 2, 0)
         f.run_until(lambda: answered(f.tally) == 1)
@@ -269,7 +277,7 @@
         assert f.call_servers[1].finals["stands"] == 1 and len(f.call_servers[1].calls) == 1
 
 
-def test_the_relay_finds_circuit_type_and_service_in_a_frame() -> None:
+def test_the_relay_reads_cic_message_type_and_service_indicator_from_a_frame() -> None:
     message = isup.IsupMessage(0x123, isup.RLC)
     frame = m3ua.encode_data(m3ua.Data(1, 2, m3ua.SI_ISUP, 2, 0, 3, isup.encode(message), 9))
     assert relay._cic(frame) == 0x123
