--- a/ospreybridge/fronts/m3ua.py
+++ b/ospreybridge/fronts/m3ua.py
@@ -226,7 +226,7 @@
         self.pending_handshakes: dict[int, socket.socket] = {}
         self.last_handshake_id = 0
         self.credentials: CredentialManager | None = None
-        self.sockets: list[socket.socket] = []
+        self.listening_sockets: list[socket.socket] = []
         if settings.tls is not None:
             self.credentials = CredentialManager(settings.tls, settings.seed, self.log_event, wall)
             self.renewals = RenewalScheduler(settings.tls.link_age, settings.tls.spread, settings.seed + 1)
@@ -244,7 +244,7 @@
         if address is None:
             return 0
         sock = tcp.listen(address)
-        self.sockets.append(sock)
+        self.listening_sockets.append(sock)
         self.loop.spawn(tcp.accept_connections(self.loop, sock, accepted))
         return int(sock.getsockname()[1])
 
@@ -553,7 +553,7 @@
     def stop_listening(self) -> None:
         """Closes the listening sockets; no peer is dialled or accepted any more."""
         self.stopping = True
-        for sock in self.sockets:
+        for sock in self.listening_sockets:
             self.loop.unregister(sock.fileno())
             sock.close()
 
--- a/ospreybridge/settings/server.py
+++ b/ospreybridge/settings/server.py
@@ -128,9 +128,7 @@
     advice: bool = False
     stop_within: float = 10_000.0
     out_buffer: int = 1 << 20  # unsent octets queued for a peer before its connection is closed
-    answer_margin: float = (
-        100.0  # part of a caller's time kept for the answer's return; at most a tenth of it
-    )
+    answer_margin: float = 100.0  # of a caller's time, kept for the answer's return; at most a tenth of it
     seed: int = 0
     path: str = ""  # of the settings file
     tls: TlsSettings | None = None
@@ -285,14 +283,14 @@
     if node is None:
         return None
     paths = {name: folder / node[name] for name in ("certificate", "key", "trust", "revoked") if node[name]}
-    given: dict[str, Any] = {
+    optional: dict[str, Any] = {
         name: node[name.replace("_", "-")]
         for name in ("ticket_age", "link_age", "spread", "slots", "check_every")
         if node[name.replace("_", "-")] is not None
     }
     if days := node.all_arguments("warn-days"):
-        given["warn_days"] = tuple(days)
-    return TlsSettings(CredentialPaths(**paths), node["name"], node["listen"], node["allow-1.2"], **given)
+        optional["warn_days"] = tuple(days)
+    return TlsSettings(CredentialPaths(**paths), node["name"], node["listen"], node["allow-1.2"], **optional)
 
 
 def load(path: Path) -> ServerSettings:
--- a/ospreybridge/signalling/frames.py
+++ b/ospreybridge/signalling/frames.py
@@ -104,17 +104,17 @@
     """The frame with its length field."""
     payload = b"".join(
         RECORD_FORMAT.pack(
-            r.id,
-            int.from_bytes(bytes(int(part) for part in r.address.split(".")), "big"),
-            r.port,
-            r.state,
-            r.zone,
-            r.kind,
-            r.cell,
-            r.weight,
-            r.started_unix_ms,
+            record.id,
+            int.from_bytes(bytes(int(octet) for octet in record.address.split(".")), "big"),
+            record.port,
+            record.state,
+            record.zone,
+            record.kind,
+            record.cell,
+            record.weight,
+            record.started_unix_ms,
         )
-        for r in frame.records
+        for record in frame.records
     )
     return (
         LENGTH_FORMAT.pack(HEADER_FORMAT.size + len(payload))
--- a/ospreybridge/signalling/jsonl.py
+++ b/ospreybridge/signalling/jsonl.py
@@ -111,8 +111,8 @@
     if not isinstance(text, str) or len(text) > 512:
         raise MessageError("extras: pairs such as a:1;b:2 were expected")
     pairs: dict[str, str] = {}
-    for part in text.split(";"):
-        name, colon, value = part.partition(":")
+    for pair in text.split(";"):
+        name, colon, value = pair.partition(":")
         if not colon or not name or name in pairs:
             raise MessageError("extras: pairs such as a:1;b:2 were expected")
         pairs[name] = value
--- a/ospreybridge/signalling/sccp.py
+++ b/ospreybridge/signalling/sccp.py
@@ -21,16 +21,16 @@
     """Called subsystem number and data; MessageError if the message can't be decoded."""
     if len(raw) < 5 or raw[0] != UDT:
         raise MessageError("not an SCCP unitdata message")
-    parts = []
+    fields = []  # called address, calling address, data
     for at in (2, 3, 4):
         start = at + raw[at]
         if start >= len(raw) or start + 1 + raw[start] > len(raw):
             raise MessageError("an SCCP pointer is outside the message")
-        parts.append(raw[start + 1 : start + 1 + raw[start]])
-    address = parts[0]
+        fields.append(raw[start + 1 : start + 1 + raw[start]])
+    address = fields[0]
     if len(address) < 2 or not address[0] & 2:
         raise MessageError("an SCCP address without a subsystem number")
     at = 3 if address[0] & 1 else 1  # after the point code, if there is one
     if at >= len(address):
         raise MessageError("an SCCP address ends before its subsystem number")
-    return address[at], parts[2]
+    return address[at], fields[2]
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -42,10 +42,10 @@
 def sample(kind: int) -> IsupMessage:
     """A message of this type with all mandatory parameters, and all of OPTIONS if it may have any."""
     fixed, variable, options = isup.LAYOUT[kind]
-    given = {code: SAMPLES[code] for code in (*(code for code, _ in fixed), *variable)}
+    parameters = {code: SAMPLES[code] for code in (*(code for code, _ in fixed), *variable)}
     if kind in (isup.GRS, isup.CQM):
-        given[isup.RANGE_STATUS] = isup.encode_range_status(9)
-    return IsupMessage(2_047, kind, given | (OPTIONS if options else {}))
+        parameters[isup.RANGE_STATUS] = isup.encode_range_status(9)
+    return IsupMessage(2_047, kind, parameters | (OPTIONS if options else {}))
 
 
 @pytest.mark.parametrize("kind", sorted(isup.LAYOUT))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -27,7 +27,8 @@
         f.run_until(lambda: answered(f.tally) == 12)
         f.hang_up_all()
         f.run_until(f.all_circuits_free)
-        assert sum(core.finals["stands"] for core in f.call_servers.values()) == 24  # at both ends of each
+        # Each call is counted at both of its ends.
+        assert sum(server.finals["stands"] for server in f.call_servers.values()) == 24
         assert not any(end.faults for end in [*f.offices.values(), *f.callers.values()])
 
 
