--- a/ospreybridge/keys/__init__.py
+++ b/ospreybridge/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Certificates, keys and trust: what is read, how a peer's certificate is judged, when to warn and renew."""
+"""TLS credentials: loading and checking them, validating a peer's certificate, warning before expiry."""
--- a/ospreybridge/keys/certificate_info.py
+++ b/ospreybridge/keys/certificate_info.py
@@ -1,4 +1,4 @@
-"""What of a certificate matters to a link (RFC 5280), read once from its DER form."""
+"""The fields of an X.509 certificate (RFC 5280) that are used for validation."""
 
 from __future__ import annotations
 
@@ -9,39 +9,42 @@
 from cryptography.hazmat.primitives.asymmetric import dsa, ec, ed448, ed25519, rsa
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
-SERVER_AUTH, CLIENT_AUTH = "server", "client"  # the two purposes of RFC 5280, 4.2.1.12 that a link asks for
+SERVER_AUTH, CLIENT_AUTH = "server", "client"  # extended key usages, RFC 5280, 4.2.1.12
 _PURPOSES = {ExtendedKeyUsageOID.SERVER_AUTH: SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH: CLIENT_AUTH}
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateInfo:
-    """`names`: DNS names of the SAN, lower case; times in seconds since 1970; `bits` of the public key."""
+    """The validated fields of a certificate; times are in seconds since 1970."""
 
-    dns_names: tuple[str, ...]
-    issuer: bytes
+    dns_names: tuple[str, ...]  # from the subject alternative name, in lower case
+    issuer: bytes  # distinguished name in DER
     serial: int
     not_before: float
     not_after: float
     key_type: str  # RSA, EC, Ed25519, Ed448, DSA, other
-    key_bits: int
-    purposes: frozenset[str]  # both where the certificate names no extended key usage
+    key_bits: int  # of the public key
+    purposes: frozenset[str]  # both purposes if there is no extended key usage extension
     is_ca: bool
 
 
-def _key(public: object) -> tuple[str, int]:
-    if isinstance(public, rsa.RSAPublicKey):
-        return "RSA", public.key_size
-    if isinstance(public, ec.EllipticCurvePublicKey):
-        return "EC", public.curve.key_size
-    if isinstance(public, ed25519.Ed25519PublicKey):
+def _key_type_and_bits(public_key: object) -> tuple[str, int]:
+    if isinstance(public_key, rsa.RSAPublicKey):
+        return "RSA", public_key.key_size
+    if isinstance(public_key, ec.EllipticCurvePublicKey):
+        return "EC", public_key.curve.key_size
+    if isinstance(public_key, ed25519.Ed25519PublicKey):
         return "Ed25519", 256
-    if isinstance(public, ed448.Ed448PublicKey):
+    if isinstance(public_key, ed448.Ed448PublicKey):
         return "Ed448", 448
-    return ("DSA", public.key_size) if isinstance(public, dsa.DSAPublicKey) else ("other", 0)
+    return ("DSA", public_key.key_size) if isinstance(public_key, dsa.DSAPublicKey) else ("other", 0)
 
 
 def from_certificate(certificate: x509.Certificate) -> CertificateInfo:
-    """ValueError where the certificate breaks its own form (a duplicate extension, a key nobody knows)."""
+    """Reads the fields of a parsed certificate.
+
+    Raises ValueError if it is malformed, for example with a duplicate extension or an unsupported key.
+    """
     extensions = certificate.extensions
 
     def value(kind: type[x509.ExtensionType]) -> x509.ExtensionType | None:
@@ -59,7 +62,7 @@
         if isinstance(usage, x509.ExtendedKeyUsage)
         else frozenset((SERVER_AUTH, CLIENT_AUTH))
     )
-    key, bits = _key(certificate.public_key())
+    key, bits = _key_type_and_bits(certificate.public_key())
     return CertificateInfo(
         dns_names=tuple(name.lower() for name in names),
         issuer=certificate.issuer.public_bytes(),
@@ -74,6 +77,6 @@
 
 
 @functools.lru_cache(maxsize=1_024)
-def read(der: bytes) -> CertificateInfo:
-    """The facts of a DER certificate; ValueError where it can't be read."""
+def from_der(der: bytes) -> CertificateInfo:
+    """Reads the fields of a DER certificate; raises ValueError if it is malformed."""
     return from_certificate(x509.load_der_x509_certificate(der))
--- a/ospreybridge/keys/validation.py
+++ b/ospreybridge/keys/validation.py
@@ -1,7 +1,7 @@
-"""Whether a certificate may stand for a peer. Pure decisions: facts and the time come in, a reason goes out.
+"""Decides whether a certificate identifies a peer. Pure functions without I/O or a clock of their own.
 
-OpenSSL builds and verifies the chain of a full handshake; this is asked after every handshake, so that a
-session resumed by ticket is held against today's date, names and revocation list just as a full one is.
+OpenSSL builds and verifies the chain only in a full handshake. These checks run after every handshake, so
+that a session resumed by ticket is also checked against the current date, names and revocation list.
 """
 
 from __future__ import annotations
@@ -11,12 +11,17 @@
 
 from ospreybridge.keys.certificate_info import CertificateInfo
 
-MIN_KEY_BITS = {"RSA": 2_048, "EC": 256, "Ed25519": 256, "Ed448": 448}  # 112 bits of strength, SP 800-57
-Revoked = Collection[tuple[bytes, int]]  # issuer (DER) and serial number
+MIN_KEY_BITS = {
+    "RSA": 2_048,
+    "EC": 256,
+    "Ed25519": 256,
+    "Ed448": 448,
+}  # at least 112 bits of strength (NIST SP 800-57)
+RevokedCertificates = Collection[tuple[bytes, int]]  # (issuer name in DER, serial number)
 
 
 class FailureReason(StrEnum):
-    """Why a link was not had, or ended; one word a cause for the log and the counters."""
+    """Why a TLS link could not be set up, or ended. The values are written to the log and the counters."""
 
     WRONG_NAME = "wrong name"
     UNKNOWN_ISSUER = "unknown issuer"
@@ -39,48 +44,61 @@
 
 
 def identity_claim_error(peer_requires_tls: bool, link_uses_tls: bool) -> FailureReason | None:
-    """Why a connection may not say that it is this peer; None where the two merely don't belong together."""
+    """Why a connection is not allowed to identify itself as this peer.
+
+    None if neither its certificate nor missing TLS is the cause: both the peer and the connection are plain.
+    """
     if link_uses_tls:
-        return FailureReason.WRONG_NAME  # its certificate is another's
+        return FailureReason.WRONG_NAME  # its certificate belongs to another peer
     return FailureReason.TLS_REQUIRED if peer_requires_tls else None
 
 
 def requires_backoff(reason: FailureReason) -> bool:
-    """Whether dialling again at once would meet the same; a peer that is just starting refuses nobody."""
+    """Whether an immediate redial would fail in the same way.
+
+    A connection closed during the handshake does not count: the peer may just be starting.
+    """
     return reason is not FailureReason.CLOSED_IN_HANDSHAKE
 
 
-def dns_name_matches(wanted: str, shown: str, wildcard: bool) -> bool:
-    """Exact DNS names (RFC 6125, 6.4.1); one whole left-most label may be `*` only where allowed."""
-    wanted, shown = wanted.lower().rstrip("."), shown.lower().rstrip(".")
-    if wanted == shown:
-        return "*" not in shown
-    label, _, rest = wanted.partition(".")
-    return wildcard and bool(label) and shown == "*." + rest and rest.count(".") >= 1
+def dns_name_matches(expected: str, presented: str, allow_wildcard: bool) -> bool:
+    """Compares DNS names without regard to case (RFC 6125, 6.4.1).
 
+    With `allow_wildcard`, the whole left-most label of the presented name may be `*`.
+    """
+    expected, presented = expected.lower().rstrip("."), presented.lower().rstrip(".")
+    if expected == presented:
+        return "*" not in presented
+    label, _, rest = expected.partition(".")
+    return allow_wildcard and bool(label) and presented == "*." + rest and rest.count(".") >= 1
 
-def certificate_has_name(facts: CertificateInfo, wanted: str, wildcard: bool) -> bool:
-    """Whether the SAN shows this name; what else the certificate says does not count."""
-    return any(dns_name_matches(wanted, shown, wildcard) for shown in facts.dns_names)
 
+def certificate_has_name(certificate: CertificateInfo, expected: str, allow_wildcard: bool) -> bool:
+    """Whether the subject alternative name contains this DNS name; the common name is ignored."""
+    return any(dns_name_matches(expected, presented, allow_wildcard) for presented in certificate.dns_names)
 
-def weak(facts: CertificateInfo) -> bool:
-    return facts.key_bits < MIN_KEY_BITS.get(facts.key_type, 1 << 30)
+
+def has_weak_key(certificate: CertificateInfo) -> bool:
+    """Whether the key is too short, or of a type that is not accepted at all."""
+    return certificate.key_bits < MIN_KEY_BITS.get(certificate.key_type, 1 << 30)
 
 
 def certificate_error(
-    certificate: CertificateInfo, now: float, purpose: str, revoked: Revoked
+    certificate: CertificateInfo, now: float, required_purpose: str, revoked: RevokedCertificates
 ) -> FailureReason | None:
-    """What is wrong with a certificate whoever shows it; `now` in seconds since 1970."""
+    """The first reason to reject a certificate, whatever its name; None if there is none.
+
+    `now` is in seconds since 1970; `required_purpose` is SERVER_AUTH or CLIENT_AUTH.
+    """
     if (certificate.issuer, certificate.serial) in revoked:
         return FailureReason.REVOKED
     if now > certificate.not_after:
         return FailureReason.EXPIRED
     if now < certificate.not_before:
         return FailureReason.NOT_YET_VALID
-    if weak(certificate):
+    if has_weak_key(certificate):
         return FailureReason.WEAK_KEY
-    # An authority's own certificate must never pass as a peer's.
-    if purpose not in certificate.purposes or certificate.is_ca:
+    # The certificate of an authority must never be accepted as that of a peer.
+    if required_purpose not in certificate.purposes or certificate.is_ca:
         return FailureReason.WRONG_PURPOSE
     return None
--- a/ospreybridge/keys/watch.py
+++ b/ospreybridge/keys/watch.py
@@ -1,37 +1,47 @@
-"""Warnings before a certificate ends: each stated time once, then each day of the last ones. No I/O."""
+"""Warnings before a certificate expires: once at each configured threshold, then hourly. No I/O."""
 
 from __future__ import annotations
 
-DAY = 86_400.0  # seconds
-LAST_DAYS = 1.0 * DAY  # from here on a warning each hour: whoever is on call must not miss it
-HOUR = 3_600.0
+DAY_S = 86_400.0
+REPEATED_WARNINGS_S = 1.0 * DAY_S  # in the last day, warnings repeat so that whoever is on call sees one
+REPEAT_INTERVAL_S = 3_600.0
 
 
-class Expiry:
-    """Watches ends by name; `due` gives what is to be said now."""
+class ExpiryWarnings:
+    """Tracks expiry times by name and decides which warnings are due."""
 
-    def __init__(self, stages: tuple[float, ...]) -> None:
-        """`stages`: days before the end at which a warning is due."""
-        self.stages = tuple(sorted((days * DAY for days in stages), reverse=True))
-        self.said: dict[str, tuple[float, float, float]] = {}  # end, stage passed, when last said
+    def __init__(self, thresholds_days: tuple[float, ...]) -> None:
+        """`thresholds_days`: days before expiry at which a warning is due."""
+        self.thresholds_s = tuple(sorted((days * DAY_S for days in thresholds_days), reverse=True))
+        self.last_warnings: dict[
+            str, tuple[float, float, float]
+        ] = {}  # by name: (expiry time, threshold reached, time of the warning), in seconds
 
-    def due(self, now: float, ends: dict[str, float], brief: str = "") -> list[tuple[str, float]]:
-        """(name, days left; negative once over) of each warning due. A renewed one begins anew.
+    def due_warnings(
+        self, now: float, expiry_times: dict[str, float], short_lived: str = ""
+    ) -> list[tuple[str, float]]:
+        """Returns (name, days left) for each warning that is due; days are negative after expiry.
 
-        `brief` lives for days only, as a revocation list does: it is told of on its last one.
+        A name with a changed expiry time (a renewed certificate) starts over. `now` and `expiry_times` are in
+        seconds since 1970. `short_lived` is the name of an item that is renewed every few days, such as a
+        revocation list: it is warned about on its last day only.
         """
-        found = []
-        for name, end in ends.items():
-            left = end - now
-            stages = (LAST_DAYS,) if name == brief else self.stages
-            passed = min((stage for stage in stages if left <= stage), default=None)
-            if passed is None:
-                self.said.pop(name, None)
+        warnings = []
+        for name, expires_at in expiry_times.items():
+            remaining = expires_at - now
+            thresholds = (REPEATED_WARNINGS_S,) if name == short_lived else self.thresholds_s
+            reached = min((threshold for threshold in thresholds if remaining <= threshold), default=None)
+            if reached is None:
+                self.last_warnings.pop(name, None)
                 continue
-            known = self.said.get(name)
-            fresh = known is None or known[0] != end or passed < known[1]
-            again = known is not None and left <= LAST_DAYS and now - known[2] >= HOUR
-            if fresh or again:
-                self.said[name] = (end, passed, now)
-                found.append((name, left / DAY))
-        return found
+            previous = self.last_warnings.get(name)
+            is_new = previous is None or previous[0] != expires_at or reached < previous[1]
+            is_repeat = (
+                previous is not None
+                and remaining <= REPEATED_WARNINGS_S
+                and now - previous[2] >= REPEAT_INTERVAL_S
+            )
+            if is_new or is_repeat:
+                self.last_warnings[name] = (expires_at, reached, now)
+                warnings.append((name, remaining / DAY_S))
+        return warnings
--- a/ospreybridge/net/__init__.py
+++ b/ospreybridge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop on select.epoll with generators as coroutines, and TCP streams on it."""
+"""An epoll event loop with generators as coroutines, and TCP and TLS streams on it."""
--- a/ospreybridge/net/loop.py
+++ b/ospreybridge/net/loop.py
@@ -1,7 +1,7 @@
-"""One epoll loop. A task is a generator; it blocks only by yielding one of the four traps below.
+"""The epoll event loop. A task is a generator; it waits only by yielding one of the four requests below.
 
-Within a turn: readable and writable sockets, then timers, then one flush of every stream written to. The
-time of a turn is read once and handed to everything in it.
+One iteration handles readable and writable sockets, then due timers, then flushes each stream written to. The
+clock is read once in an iteration, and everything in it uses that time.
 """
 
 from __future__ import annotations
@@ -17,47 +17,52 @@
 from ospreybridge.net.worker import Work, Worker
 
 READ, WRITE, SLEEP, WORK = "read", "write", "sleep", "work"
-# (READ or WRITE, file descriptor), (SLEEP, milliseconds) or (WORK, what runs on the thread and never raises)
+# (READ or WRITE, file descriptor), (SLEEP, milliseconds) or (WORK, function for the worker thread that must
+# not raise)
 WaitRequest = tuple[str, float | Work]
 Task = Generator[WaitRequest, None, None]
-LONGEST_WAIT = 1_000.0  # ms of one epoll wait, so that a stop from another thread of control is seen
+MAX_WAIT_MS = 1_000.0  # bounds the time until a change of `running` from outside the loop is noticed
 
 
 class TimedOut(Exception):
-    """Thrown into a task by `interrupt`."""
+    """Raised in a waiting task by `interrupt`."""
 
 
 class EventLoop:
+    """Runs tasks, timers and stream flushes in one thread."""
+
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+        """`clock`: returns seconds."""
         self.clock = clock
         self.timers = TimerQueue()
         self.epoll = select.epoll()
         self.readers: dict[int, Task] = {}
         self.writers: dict[int, Task | Callable[[], None]] = {}
-        self.masks: dict[int, int] = {}
-        self.flushing: list[Any] = []
+        self.registered_masks: dict[int, int] = {}
+        self.pending_flushes: list[Any] = []
         self.worker: Worker | None = None
         self.running = True
-        self.now = clock() * 1_000.0  # ms; never goes back within a run
+        self.now = clock() * 1_000.0  # ms; never goes back
         self.on_task_error: Callable[[str, BaseException], None] | None = None
 
     # -- tasks
 
     def spawn(self, task: Task) -> Task:
-        self._step(task)
+        """Starts a task; it runs at once until its first wait."""
+        self._resume(task)
         return task
 
-    def _step(self, task: Task, error: type[Exception] | None = None) -> None:
-        # A class, not an instance: one held here would hold this frame by its traceback, and so the task's
-        # frames and what they had read, until a full collection.
+    def _resume(self, task: Task, error: type[Exception] | None = None) -> None:
+        # `error` is a class: an exception instance held here would reference this frame by its traceback and
+        # so keep the task's frames, with the data they have read, alive until a full garbage collection.
         try:
-            trap, value = next(task) if error is None else task.throw(error)
+            kind, value = next(task) if error is None else task.throw(error)
         except StopIteration:
             return
         except TimedOut:
             return
         except Exception as caught:
-            # One task's defect must not end the others' calls; it is told, loudly.
+            # A defect in one task must not end the calls of others; it is reported.
             if self.on_task_error is None:
                 raise
             self.on_task_error(getattr(task, "__name__", "task"), caught)
@@ -65,68 +70,71 @@
         if callable(value):
             if self.worker is None:
                 self.worker = Worker()
-                self.spawn(self._working(self.worker))
-            self.worker.give(value, lambda: self._step(task))
-        elif trap == READ:
+                self.spawn(self._deliver_completions(self.worker))
+            self.worker.submit(value, lambda: self._resume(task))
+        elif kind == READ:
             self.readers[int(value)] = task
             self._mask(int(value))
-        elif trap == WRITE:
+        elif kind == WRITE:
             self.writers[int(value)] = task
             self._mask(int(value))
         else:
-            self.timers.schedule(self.now + value, lambda now: self._step(task))
+            self.timers.schedule(self.now + value, lambda now: self._resume(task))
 
-    def _working(self, worker: Worker) -> Task:
+    def _deliver_completions(self, worker: Worker) -> Task:
+        """Resumes the tasks whose work on the thread is done."""
         while True:
             yield READ, worker.descriptor
-            for then in worker.done():
-                then()
+            for on_done in worker.take_completed():
+                on_done()
 
     def interrupt(self, fd: int) -> None:
-        """Throws TimedOut into the task that waits for this socket."""
+        """Raises TimedOut in the task that waits for this socket, if there is one."""
         task = self.readers.pop(fd, None) or self.writers.get(fd)
         if task is not None and not callable(task):
             self.writers.pop(fd, None)
-            if fd in self.masks:
+            if fd in self.registered_masks:
                 self._mask(fd)
-            self._step(task, TimedOut)
+            self._resume(task, TimedOut)
 
     # -- sockets
 
     def _mask(self, fd: int) -> None:
         mask = (select.EPOLLIN if fd in self.readers else 0) | (select.EPOLLOUT if fd in self.writers else 0)
-        known = self.masks.get(fd)
-        if known is None:
+        registered = self.registered_masks.get(fd)
+        if registered is None:
             self.epoll.register(fd, mask)
-        elif known != mask:
+        elif registered != mask:
             self.epoll.modify(fd, mask)
-        self.masks[fd] = mask
+        self.registered_masks[fd] = mask
 
-    def when_writable(self, fd: int, call: Callable[[], None]) -> None:
-        self.writers[fd] = call
+    def when_writable(self, fd: int, callback: Callable[[], None]) -> None:
+        """Calls back once, when the socket is writable."""
+        self.writers[fd] = callback
         self._mask(fd)
 
     def unregister(self, fd: int) -> None:
-        """To be called before a socket is closed."""
-        # First of all: the last reference to a waiting task may be the one to its socket too.
-        if self.masks.pop(fd, None) is not None:
+        """Drops the socket and the tasks that wait for it; to be called before it is closed."""
+        # Leaves epoll first: dropping the last reference to a waiting task may also close its socket.
+        if self.registered_masks.pop(fd, None) is not None:
             self.epoll.unregister(fd)
         self.readers.pop(fd, None)
         self.writers.pop(fd, None)
 
-    # -- turns
+    # -- iterations
 
-    def run_once(self, longest: float = LONGEST_WAIT) -> None:
+    def run_once(self, max_wait_ms: float = MAX_WAIT_MS) -> None:
+        """Runs one iteration; waits up to `max_wait_ms` for a socket or timer."""
         due = self.timers.next_due()
-        wait = longest if due is None else min(longest, max(0.0, due - self.clock() * 1_000.0))
+        wait = max_wait_ms if due is None else min(max_wait_ms, max(0.0, due - self.clock() * 1_000.0))
         ready = self.epoll.poll(wait / 1_000.0)
         self.now = max(self.now, self.clock() * 1_000.0)
         for fd, mask in ready:
             if mask & (select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR):
                 reader = self.readers.pop(fd, None)
                 if reader is not None:
-                    self._step(reader)
-                    if fd not in self.readers and fd in self.masks:
+                    self._resume(reader)
+                    if fd not in self.readers and fd in self.registered_masks:
                         self._mask(fd)
             if mask & (select.EPOLLOUT | select.EPOLLHUP | select.EPOLLERR):
                 writer = self.writers.pop(fd, None)
@@ -134,27 +142,28 @@
                     if callable(writer):
                         writer()
                     else:
-                        self._step(writer)
-                if fd in self.masks:
+                        self._resume(writer)
+                if fd in self.registered_masks:
                     self._mask(fd)
         try:
             self.timers.run_due(self.now)
-        except Exception as caught:  # as with a task: the other timers run in the next turn
+        except Exception as caught:  # as with a task; the remaining timers run in the next iteration
             if self.on_task_error is None:
                 raise
             self.on_task_error("timer", caught)
-        while self.flushing:
-            streams, self.flushing = self.flushing, []
+        while self.pending_flushes:
+            streams, self.pending_flushes = self.pending_flushes, []
             for stream in streams:
                 stream.flush()
 
     def run(self) -> None:
+        """Runs until `running` is false."""
         while self.running:
             self.run_once()
 
-    def run_until(self, condition: Callable[[], bool], within: float) -> bool:
-        """Turns until the condition holds; False after `within` milliseconds."""
-        end = self.clock() * 1_000.0 + within
+    def run_until(self, condition: Callable[[], bool], timeout_ms: float) -> bool:
+        """Runs until the condition holds; returns False if it does not within `timeout_ms`."""
+        end = self.clock() * 1_000.0 + timeout_ms
         while not condition():
             if self.clock() * 1_000.0 >= end:
                 return False
@@ -162,26 +171,27 @@
         return True
 
     def on_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Calls a handler in the loop, never in the middle of a turn."""
-        near, far = socket.socketpair()
-        near.setblocking(False)
-        far.setblocking(False)
-        signal.set_wakeup_fd(far.fileno(), warn_on_full_buffer=False)
+        """Installs signal handlers; they run as a task in the loop and never interrupt other code."""
+        receiver, sender = socket.socketpair()
+        receiver.setblocking(False)
+        sender.setblocking(False)
+        signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, lambda *_: None)
 
         def read() -> Task:
             while True:
-                yield READ, near.fileno()
-                for number in near.recv(256):
+                yield READ, receiver.fileno()
+                for number in receiver.recv(256):
                     if number in handlers:
                         handlers[number]()
-                _ = far  # kept open as long as this task lives
+                _ = sender  # this reference keeps the socket open while the task runs
 
         self.spawn(read())
 
     def close(self) -> None:
-        for fd in list(self.masks):
+        """Drops all sockets, stops the worker thread and closes the epoll object."""
+        for fd in list(self.registered_masks):
             self.unregister(fd)
         if self.worker is not None:
             self.worker.close()
--- a/ospreybridge/net/tcp.py
+++ b/ospreybridge/net/tcp.py
@@ -1,4 +1,4 @@
-"""TCP on the loop: streams with a bounded buffer out, dialling and listening."""
+"""TCP on the event loop: streams with a bounded send buffer, outgoing connections and listeners."""
 
 from __future__ import annotations
 
@@ -9,31 +9,34 @@
 
 from ospreybridge.net.loop import READ, WRITE, EventLoop, Task, TimedOut, WaitRequest
 
-CHUNK = 65_536
-MOST_ACCEPTS = 4  # connections taken in a turn: a crowd at the door must not hold up standing links
+READ_SIZE_BYTES = 65_536
+MAX_ACCEPTS_PER_TURN = 4  # a flood of new connections must not delay established links
 
 
 class Stream:
-    """One connection. Writes are gathered and leave once a turn; too many unread ones end it."""
+    """One connection. Writes are sent together, once in each iteration of the loop.
 
-    def __init__(self, loop: EventLoop, sock: socket.socket, limit: int = 1 << 20) -> None:
+    More than `max_unsent_bytes` waiting to be sent close the connection.
+    """
+
+    def __init__(self, loop: EventLoop, sock: socket.socket, max_unsent_bytes: int = 1 << 20) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.loop, self.sock, self.fd, self.max_unsent_bytes = loop, sock, sock.fileno(), limit
+        self.loop, self.sock, self.fd, self.max_unsent_bytes = loop, sock, sock.fileno(), max_unsent_bytes
         self.unsent: list[bytes] = []
-        self.size = 0
-        self.queued = self.blocked = self.closed = False
-        self.has_written = False  # anything at all
+        self.unsent_bytes = 0
+        self.flush_scheduled = self.blocked = self.closed = False
+        self.has_written = False  # whether anything was ever written
         self.on_close: Callable[[str], None] | None = None
 
     def read(self) -> Generator[WaitRequest, None, bytes]:
-        """What has come, at most 64 KiB; empty at the end of the stream or once it is closed."""
+        """Waits for data and returns at most 64 KiB; empty at the end of the stream or once it is closed."""
         while not self.closed:
             yield READ, self.fd
             if self.closed:
                 break
             try:
-                return self.sock.recv(CHUNK)
+                return self.sock.recv(READ_SIZE_BYTES)
             except BlockingIOError:
                 continue
             except OSError:
@@ -41,20 +44,22 @@
         return b""
 
     def write(self, data: bytes) -> None:
+        """Queues data for the next flush; ignored once the stream is closed."""
         if self.closed:
             return
         self.has_written = True
         self.unsent.append(data)
-        self.size += len(data)
-        if self.size > self.max_unsent_bytes:
-            # A peer that never reads must not take the memory that other peers' calls need.
+        self.unsent_bytes += len(data)
+        if self.unsent_bytes > self.max_unsent_bytes:
+            # A peer that does not read must not use up the memory that the calls of other peers need.
             self.close("the peer does not read")
-        elif not self.queued and not self.blocked:
-            self.queued = True
-            self.loop.flushing.append(self)
+        elif not self.flush_scheduled and not self.blocked:
+            self.flush_scheduled = True
+            self.loop.pending_flushes.append(self)
 
     def flush(self) -> None:
-        self.queued = False
+        """Sends what is queued, as far as the socket accepts it; the rest follows when it is writable."""
+        self.flush_scheduled = False
         if self.closed or not self.unsent:
             return
         data = self.unsent[0] if len(self.unsent) == 1 else b"".join(self.unsent)
@@ -64,37 +69,38 @@
             self.close(f"write failed: {errno.errorcode.get(error.errno or 0, '?')}")
             return
         rest = data[sent:]
-        self.unsent, self.size = ([rest] if rest else []), len(rest)
+        self.unsent, self.unsent_bytes = ([rest] if rest else []), len(rest)
         if rest:
             self.blocked = True
-            self.loop.when_writable(self.fd, self._writable)
+            self.loop.when_writable(self.fd, self._on_writable)
 
     def _send(self, data: bytes) -> int:
-        """How many octets the system has taken; none where it would block."""
+        """Returns the number of bytes accepted by the socket; 0 if it would block."""
         try:
             return self.sock.send(data)
         except BlockingIOError:
             return 0
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         self.blocked = False
         self.flush()
 
     def close(self, reason: str) -> None:
+        """Closes the connection, discards unsent data and reports the reason to `on_close`."""
         if self.closed:
             return
         self.closed = True
         self.loop.unregister(self.fd)
         self.sock.close()
-        self.unsent, self.size = [], 0
+        self.unsent, self.unsent_bytes = [], 0
         if self.on_close is not None:
             self.on_close(reason)
 
 
 def connect(
-    loop: EventLoop, address: tuple[str, int], within: float
+    loop: EventLoop, address: tuple[str, int], timeout_ms: float
 ) -> Generator[WaitRequest, None, socket.socket]:
-    """A connected socket; OSError (TimeoutError included) where none could be had."""
+    """Opens a connection and returns its socket; raises OSError if it fails or takes too long."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -103,14 +109,14 @@
         sock.close()
         raise OSError(code, os.strerror(code))
     fd = sock.fileno()
-    late = loop.timers.schedule(loop.now + within, lambda now: loop.interrupt(fd))
+    timeout = loop.timers.schedule(loop.now + timeout_ms, lambda now: loop.interrupt(fd))
     try:
         yield WRITE, fd
     except TimedOut:
         loop.unregister(fd)
         sock.close()
-        raise TimeoutError("no answer to the connect") from None
-    late.cancel()
+        raise TimeoutError("connect timed out") from None
+    timeout.cancel()
     loop.unregister(fd)
     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
@@ -120,6 +126,7 @@
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
+    """A non-blocking listening socket; port 0 picks a free port."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -130,15 +137,16 @@
 
 
 def accept_connections(
-    loop: EventLoop, sock: socket.socket, accepted: Callable[[socket.socket], None]
+    loop: EventLoop, sock: socket.socket, on_accept: Callable[[socket.socket], None]
 ) -> Task:
+    """Passes each accepted connection to `on_accept`."""
     while True:
         yield READ, sock.fileno()
-        for _ in range(MOST_ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
-                accepted(sock.accept()[0])
+                on_accept(sock.accept()[0])
             except BlockingIOError:
                 break
-            except OSError:  # out of descriptors, or gone before it was taken: the next ones still count
+            except OSError:  # no descriptors left, or the client is gone already: try the next one later
                 yield "sleep", 50.0
                 break
--- a/ospreybridge/net/tls.py
+++ b/ospreybridge/net/tls.py
@@ -1,4 +1,4 @@
-"""TLS on the loop: contexts made of a checked set, handshakes step by step, streams of records."""
+"""TLS on the event loop: contexts built from checked credentials, stepwise handshakes, and streams."""
 
 from __future__ import annotations
 
@@ -10,24 +10,23 @@
 from collections.abc import Callable, Generator
 
 from ospreybridge.core.handshakes import HandshakeScheduler
-from ospreybridge.keys import certificate_info as read_facts
-from ospreybridge.keys import validation
+from ospreybridge.keys import certificate_info, validation
 from ospreybridge.keys.certificate_info import CertificateInfo
 from ospreybridge.keys.credentials import Credentials, CredentialsError
 from ospreybridge.keys.validation import FailureReason
 from ospreybridge.net.loop import READ, WORK, WRITE, EventLoop, TimedOut, WaitRequest
-from ospreybridge.net.tcp import CHUNK, Stream
+from ospreybridge.net.tcp import READ_SIZE_BYTES, Stream
 
-# OpenSSL's X509_V_ERR_* (openssl/x509_vfy.h), as far as a peer's chain brings them about.
-_VERIFY = {
+# The X509_V_ERR_* codes of OpenSSL (openssl/x509_vfy.h) that a peer's chain can cause.
+_VERIFY_ERRORS = {
     2: FailureReason.UNKNOWN_ISSUER, 7: FailureReason.UNKNOWN_ISSUER, 9: FailureReason.NOT_YET_VALID,
     10: FailureReason.EXPIRED, 18: FailureReason.UNKNOWN_ISSUER, 19: FailureReason.UNKNOWN_ISSUER,
     20: FailureReason.UNKNOWN_ISSUER, 21: FailureReason.UNKNOWN_ISSUER, 23: FailureReason.REVOKED,
     24: FailureReason.UNKNOWN_ISSUER, 26: FailureReason.WRONG_PURPOSE, 66: FailureReason.WEAK_KEY,
     67: FailureReason.WEAK_KEY, 68: FailureReason.WEAK_KEY, 79: FailureReason.UNKNOWN_ISSUER,
 }  # fmt: skip
-# OpenSSL's names of library errors, without the alerts, which all begin alike.
-_LIBRARY = {
+# OpenSSL's names of library errors. Alerts are not listed: they are recognised by "ALERT" in the name.
+_LIBRARY_ERRORS = {
     "PEER_DID_NOT_RETURN_A_CERTIFICATE": FailureReason.NO_CERTIFICATE,
     "WRONG_VERSION_NUMBER": FailureReason.NOT_TLS, "HTTP_REQUEST": FailureReason.NOT_TLS,
     "HTTPS_PROXY_REQUEST": FailureReason.NOT_TLS, "PACKET_LENGTH_TOO_LONG": FailureReason.NOT_TLS,
@@ -35,58 +34,62 @@
     "UNSUPPORTED_PROTOCOL": FailureReason.NO_COMMON_VERSION,
     "NO_PROTOCOLS_AVAILABLE": FailureReason.NO_COMMON_VERSION, "EE_KEY_TOO_SMALL": FailureReason.WEAK_KEY,
 }  # fmt: skip
-_OLD_ALERT = "TLSV1_ALERT_PROTOCOL_VERSION"
-STANDIN_HANDSHAKE_TIMEOUT_MS, STANDIN_BUFFER = (
-    5_000.0,
-    1 << 24,
-)  # ms of a stand-in's handshake, octets it may have unread
-PROTOCOL_ERROR_PREFIX = "tls: "  # begins the reason of a stream that ended against the protocol
+_VERSION_ALERT = "TLSV1_ALERT_PROTOCOL_VERSION"
+STANDIN_HANDSHAKE_TIMEOUT_MS, STANDIN_BUFFER_BYTES = 5_000.0, 1 << 24  # bytes queued for sending at most
+PROTOCOL_ERROR_PREFIX = "tls: "  # starts the close reason of a stream that ended with a protocol error
 
 
 class HandshakeError(Exception):
-    """A handshake that came to nothing; `reason` is its one name, `detail` what the library or judge said."""
+    """A handshake failed, or the peer's certificate was rejected; `detail` is the explanation for the log."""
 
     def __init__(self, reason: FailureReason, detail: str = "") -> None:
         super().__init__(f"{reason}{': ' if detail else ''}{detail}")
         self.reason, self.detail = reason, detail
 
 
-def reason_of(error: BaseException) -> FailureReason:
+def failure_reason(error: BaseException) -> FailureReason:
+    """The reason that an error raised during a handshake stands for."""
     if isinstance(error, ssl.SSLCertVerificationError):
-        return _VERIFY.get(error.verify_code, FailureReason.UNREADABLE_CERTIFICATE)
+        return _VERIFY_ERRORS.get(error.verify_code, FailureReason.UNREADABLE_CERTIFICATE)
     if isinstance(error, ssl.SSLEOFError | ssl.SSLZeroReturnError | ssl.SSLSyscallError):
         return FailureReason.CLOSED_IN_HANDSHAKE
     if isinstance(error, ssl.SSLError):
         name = error.reason or ""
-        if name == _OLD_ALERT:
+        if name == _VERSION_ALERT:
             return FailureReason.NO_COMMON_VERSION
         return (
             FailureReason.REFUSED_BY_PEER
             if "ALERT" in name
-            else _LIBRARY.get(name, FailureReason.BROKEN_RECORD)
+            else _LIBRARY_ERRORS.get(name, FailureReason.BROKEN_RECORD)
         )
     return FailureReason.CLOSED_IN_HANDSHAKE
 
 
 class TlsContexts:
-    """The two contexts of one set. `renew_tickets` makes a server context whose ticket keys are new."""
+    """The client and server context of one set of credentials."""
 
-    def __init__(self, material: Credentials, allow_12: bool = False, tickets: bool = True) -> None:
-        """MaterialError where OpenSSL would not use the set, or would not believe its own certificate."""
-        self.credentials, self.allow_12, self.tickets = material, allow_12, tickets
+    def __init__(self, credentials: Credentials, allow_12: bool = False, tickets: bool = True) -> None:
+        """Raises CredentialsError if OpenSSL rejects the credentials or can't verify the own certificate.
+
+        `allow_12` permits TLS 1.2 besides 1.3; `tickets` enables session resumption.
+        """
+        self.credentials, self.allow_12, self.tickets = credentials, allow_12, tickets
         try:
-            self.client = self._made(ssl.PROTOCOL_TLS_CLIENT)
+            self.client = self._make_context(ssl.PROTOCOL_TLS_CLIENT)
             self.renew_tickets()
-            self._shake_hands_with_itself()
+            self._verify_own_chain()
         except ssl.SSLError as error:
-            raise CredentialsError([f"the set is not usable: {reason_of(error)}: {error}"]) from None
+            raise CredentialsError(
+                [f"the credentials can't be used: {failure_reason(error)}: {error}"]
+            ) from None
 
     def renew_tickets(self) -> None:
-        self.server = self._made(ssl.PROTOCOL_TLS_SERVER)
+        """Replaces the server context by one with new ticket keys."""
+        self.server = self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
-    def _made(self, protocol: ssl._SSLMethod) -> ssl.SSLContext:
+    def _make_context(self, protocol: ssl._SSLMethod) -> ssl.SSLContext:
         context = ssl.SSLContext(protocol)
-        context.check_hostname = False  # names are held against the settings by keys.judge, with no CN
+        context.check_hostname = False  # keys.validation compares names with the settings and ignores the CN
         context.verify_mode = ssl.CERT_REQUIRED
         context.minimum_version = ssl.TLSVersion.TLSv1_2 if self.allow_12 else ssl.TLSVersion.TLSv1_3
         context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
@@ -94,8 +97,8 @@
             context.num_tickets = 1 if self.tickets else 0
         if not self.tickets:
             context.options |= ssl.OP_NO_TICKET
-        # The library reads files only. It is given the octets that were checked, in memory, so that a file
-        # changed between the check and the use can't come in.
+        # load_cert_chain reads files only. It gets in-memory files with the bytes that were checked, so that
+        # a file changed after the check is not used.
         chain = os.memfd_create("certificate", os.MFD_CLOEXEC)
         key = os.memfd_create("key", os.MFD_CLOEXEC)
         try:
@@ -113,23 +116,27 @@
         self,
         loop: EventLoop,
         sock: socket.socket,
-        pace: HandshakeScheduler,
+        handshakes: HandshakeScheduler,
         name: str,
         session: ssl.SSLSession | None = None,
     ) -> Generator[WaitRequest, None, TlsStream]:
-        """A stream to the peer of that name, for stand-ins; Refused where it is somebody else."""
+        """Handshakes on a connected socket, for stand-ins; returns the stream.
+
+        Raises HandshakeError if the handshake fails or the server's certificate does not contain `name`.
+        """
 
         def wrap(plain: socket.socket) -> ssl.SSLSocket:
             return self.wrap_client(plain, name, session)
 
-        secured = yield from handshake(loop, sock, wrap, pace, STANDIN_HANDSHAKE_TIMEOUT_MS)
-        stream = TlsStream(loop, secured, STANDIN_BUFFER)
-        if not validation.certificate_has_name(peer_certificate(secured), name, False):
+        tls_socket = yield from handshake(loop, sock, wrap, handshakes, STANDIN_HANDSHAKE_TIMEOUT_MS)
+        stream = TlsStream(loop, tls_socket, STANDIN_BUFFER_BYTES)
+        if not validation.certificate_has_name(peer_certificate(tls_socket), name, False):
             stream.close(str(FailureReason.WRONG_NAME))
             raise HandshakeError(FailureReason.WRONG_NAME)
         return stream
 
     def wrap_client(self, sock: socket.socket, name: str, session: ssl.SSLSession | None) -> ssl.SSLSocket:
+        """The client side of a TLS connection to server `name`; no handshake has been made yet."""
         return self.client.wrap_socket(
             sock,
             server_hostname=name,
@@ -139,16 +146,20 @@
         )
 
     def wrap_server(self, sock: socket.socket) -> ssl.SSLSocket:
+        """The server side of a TLS connection; no handshake has been made yet."""
         return self.server.wrap_socket(
             sock, server_side=True, do_handshake_on_connect=False, suppress_ragged_eofs=False
         )
 
-    def _shake_hands_with_itself(self) -> None:
-        """Chain, key and both purposes are verified by the very code that verifies them for a peer."""
-        up, down = ssl.MemoryBIO(), ssl.MemoryBIO()
+    def _verify_own_chain(self) -> None:
+        """Verifies chain, key and both purposes by an in-memory handshake between the two contexts.
+
+        The checks are thus the same as those that are made of a peer.
+        """
+        to_server, to_client = ssl.MemoryBIO(), ssl.MemoryBIO()
         ends = [
-            self.client.wrap_bio(down, up, server_side=False),
-            self.server.wrap_bio(up, down, server_side=True),
+            self.client.wrap_bio(to_client, to_server, server_side=False),
+            self.server.wrap_bio(to_server, to_client, server_side=True),
         ]
         for _ in range(8):
             for end in list(ends):
@@ -159,143 +170,149 @@
                     continue
             if not ends:
                 return
-        raise ssl.SSLError("the set does not finish a handshake with itself")
+        raise ssl.SSLError("a handshake between the own client and server context did not finish")
 
 
 def peer_certificate(sock: ssl.SSLSocket) -> CertificateInfo:
-    """What the far end showed, in a resumed session what it showed in the full handshake."""
+    """The peer's certificate; in a resumed session, the one of the full handshake.
+
+    Raises HandshakeError if there is none or it is malformed.
+    """
     der = sock.getpeercert(True)
     if not der:
         raise HandshakeError(FailureReason.NO_CERTIFICATE)
     try:
-        return read_facts.read(der)
+        return certificate_info.from_der(der)
     except ValueError as error:
         raise HandshakeError(FailureReason.UNREADABLE_CERTIFICATE, str(error)) from None
 
 
-class _Step:
-    """One step of a handshake; its signatures and verifications run without the interpreter's lock."""
+class _HandshakeStep:
+    """One step of a handshake, for the worker thread.
+
+    OpenSSL releases the interpreter lock while it computes and verifies signatures.
+    """
 
     def __init__(self, sock: ssl.SSLSocket) -> None:
         self.sock = sock
         self.error: OSError | None = None
-        self.took = 0.0  # ms
+        self.cpu_ms = 0.0
 
     def __call__(self) -> None:
-        begun = time.thread_time()  # what it cost, not how long it waited for the processor or the lock
+        started = time.thread_time()  # processor time: without the wait for a processor or the lock
         try:
             self.sock.do_handshake()
         except OSError as error:
             self.error = error
         except ValueError as error:
             self.error = OSError(str(error))
-        self.took = 1_000.0 * (time.thread_time() - begun)
+        self.cpu_ms = 1_000.0 * (time.thread_time() - started)
 
 
 def handshake(
     loop: EventLoop,
     sock: socket.socket,
     wrap: Callable[[socket.socket], ssl.SSLSocket],
-    pace: HandshakeScheduler,
-    within: float,
-    key: int = 0,
+    handshakes: HandshakeScheduler,
+    timeout_ms: float,
+    slot: int = 0,
 ) -> Generator[WaitRequest, None, ssl.SSLSocket]:
-    """Shakes hands without holding the loop; Refused if it comes to nothing. The socket is closed then.
+    """Makes a handshake without blocking the loop; raises HandshakeError and closes the socket on failure.
 
-    `key`: the slot it holds in `pace`; 0 for one that was dialled and has none.
+    `wrap` makes the TLS socket; `handshakes` paces the steps. `slot` is the slot of an incoming handshake,
+    0 for an outgoing one, which needs none.
     """
     sock.setblocking(False)
-    end = loop.now + within
+    deadline = loop.now + timeout_ms
     fd = sock.fileno()
-    late = loop.timers.schedule(end, lambda now: loop.interrupt(fd))
-    tls: ssl.SSLSocket | None = None
+    timeout = loop.timers.schedule(deadline, lambda now: loop.interrupt(fd))
+    tls_socket: ssl.SSLSocket | None = None
     try:
-        tls = wrap(sock)
-        fd = tls.fileno()
-        wants: str | None = None if not tls.server_side else READ
+        tls_socket = wrap(sock)
+        fd = tls_socket.fileno()
+        wanted: str | None = None if not tls_socket.server_side else READ
         while True:
-            if wants is not None:
-                yield wants, fd
-            at = pace.schedule_step(loop.now)
-            if at > loop.now:
-                yield "sleep", at - loop.now
-            if loop.now >= end or not pace.holds_slot(
-                key
-            ):  # late, or its slot was given to another meanwhile
+            if wanted is not None:
+                yield wanted, fd
+            start_at = handshakes.schedule_step(loop.now)
+            if start_at > loop.now:
+                yield "sleep", start_at - loop.now
+            # The slot of a stalled handshake may have been given to another one.
+            if loop.now >= deadline or not handshakes.holds_slot(slot):
                 raise TimedOut
-            pace.record_progress(loop.now, key)
-            step = _Step(tls)
+            handshakes.record_progress(loop.now, slot)
+            step = _HandshakeStep(tls_socket)
             yield WORK, step
-            pace.record_cost(step.took)
+            handshakes.record_cost(step.cpu_ms)
             if step.error is None:
-                return tls
+                return tls_socket
             if isinstance(step.error, ssl.SSLWantReadError):
-                wants = READ
+                wanted = READ
             elif isinstance(step.error, ssl.SSLWantWriteError):
-                wants = WRITE
+                wanted = WRITE
             else:
                 raise step.error
     except TimedOut:
-        _drop(loop, tls or sock)
+        _close_socket(loop, tls_socket or sock)
         raise HandshakeError(FailureReason.HANDSHAKE_TIMEOUT) from None
     except OSError as error:
-        _drop(loop, tls or sock)
-        raise HandshakeError(reason_of(error), str(error)) from None
+        _close_socket(loop, tls_socket or sock)
+        raise HandshakeError(failure_reason(error), str(error)) from None
     finally:
-        late.cancel()
+        timeout.cancel()
 
 
-def _drop(loop: EventLoop, sock: socket.socket) -> None:
+def _close_socket(loop: EventLoop, sock: socket.socket) -> None:
     if sock.fileno() >= 0:
         loop.unregister(sock.fileno())
         sock.close()
 
 
-MOST_RECORDS = 16  # taken from one peer before the others have their turn
-LOOK_FOR_MORE = 8  # reads of a quiet link between looks for a second record: a look in vain is a system call
+MAX_RECORDS_PER_READ = 16  # bounds how long one peer keeps the others waiting
+READS_PER_DRAIN = 8  # on a quiet link, most attempts to read a second record are a wasted system call
 
 
 class TlsStream(Stream):
-    """A stream of TLS records. An end without close_notify is told apart from an orderly one."""
+    """A TLS stream. An end without close_notify is a truncation and closes it with an error as the reason."""
 
     sock: ssl.SSLSocket
-    failed: OSError | None = None  # met after records that were still good
-    reads = 0
-    several = False  # the last read found more than one record
+    pending_error: OSError | None = None  # raised after complete records; reported by the next read
+    read_count = 0
+    had_more_records = False  # whether the last read returned more than one
 
     def read(self) -> Generator[WaitRequest, None, bytes]:
         while not self.closed:
-            if self.failed is None:
+            if self.pending_error is None:
                 yield READ, self.fd
             if self.closed:
                 break
-            got: list[bytes] = []
+            records: list[bytes] = []
             try:
-                if self.failed is not None:
-                    raise self.failed
-                # One record a time comes out. All that is there is taken: a record a turn would leave a busy
-                # link's messages standing in line behind other peers' handshakes.
-                self.reads += 1
-                deep = self.several or self.reads % LOOK_FOR_MORE == 0
-                for _ in range(MOST_RECORDS if deep else 1):
-                    got.append(self.sock.recv(CHUNK))
-                self.several = len(got) > 1
-                return got[0] if len(got) == 1 else b"".join(got)
+                if self.pending_error is not None:
+                    raise self.pending_error
+                # recv returns one record at a time. With one record in each turn of the loop, messages of a
+                # busy link would wait behind the handshakes of other peers, so all that is there is read.
+                self.read_count += 1
+                drain = self.had_more_records or self.read_count % READS_PER_DRAIN == 0
+                for _ in range(MAX_RECORDS_PER_READ if drain else 1):
+                    records.append(self.sock.recv(READ_SIZE_BYTES))
+                self.had_more_records = len(records) > 1
+                return records[0] if len(records) == 1 else b"".join(records)
             except (ssl.SSLWantReadError, ssl.SSLWantWriteError):
-                self.several = len(got) > 1
-                if got:
-                    return got[0] if len(got) == 1 else b"".join(got)
+                self.had_more_records = len(records) > 1
+                if records:
+                    return records[0] if len(records) == 1 else b"".join(records)
                 continue
             except OSError as error:
-                if got:
-                    self.failed = error
-                    return b"".join(got)
+                if records:
+                    self.pending_error = error
+                    return b"".join(records)
                 if isinstance(error, ssl.SSLZeroReturnError):
                     return b""
-                self._ended(error)
+                self._close_after_error(error)
         return b""
 
-    def _ended(self, error: OSError) -> None:
+    def _close_after_error(self, error: OSError) -> None:
         if isinstance(error, ssl.SSLError) and not isinstance(error, ssl.SSLEOFError | ssl.SSLSyscallError):
             reason = (
                 FailureReason.REFUSED_BY_PEER
@@ -315,5 +332,5 @@
     def close(self, reason: str) -> None:
         if not self.closed and not reason.startswith(PROTOCOL_ERROR_PREFIX):
             with contextlib.suppress(OSError, ValueError):
-                self.sock.unwrap()  # sends close_notify; the far end's is not waited for
+                self.sock.unwrap()  # sends close_notify and does not wait for the peer's
         super().close(reason)
--- a/ospreybridge/net/worker.py
+++ b/ospreybridge/net/worker.py
@@ -1,4 +1,4 @@
-"""One thread beside the loop, for work that would hold every call meanwhile and that lets go of the lock."""
+"""A worker thread for work that would block all calls on the loop and that releases the interpreter lock."""
 
 from __future__ import annotations
 
@@ -13,31 +13,33 @@
 
 
 class Worker:
-    """`descriptor` becomes readable when work is done; `done` then tells which, in order."""
+    """Runs work in order on one thread; `descriptor` becomes readable when some of it is done."""
 
     def __init__(self) -> None:
         self.descriptor = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self.waiting: SimpleQueue[tuple[Work, Work] | None] = SimpleQueue()
-        self.finished: deque[Work] = deque()
+        self.pending: SimpleQueue[tuple[Work, Work] | None] = SimpleQueue()
+        self.completed: deque[Work] = deque()
         self.thread = threading.Thread(target=self._run, name="handshakes", daemon=True)
         self.thread.start()
 
-    def give(self, work: Work, then: Work) -> None:
-        """`work` runs on the thread and must not raise; `then` is one of what `done` gives back."""
-        self.waiting.put((work, then))
+    def submit(self, work: Work, on_done: Work) -> None:
+        """Runs `work` on the thread; it must not raise. `take_completed` then returns `on_done`."""
+        self.pending.put((work, on_done))
 
     def _run(self) -> None:
-        while (item := self.waiting.get()) is not None:
+        while (item := self.pending.get()) is not None:
             item[0]()
-            self.finished.append(item[1])
+            self.completed.append(item[1])
             os.eventfd_write(self.descriptor, 1)
 
-    def done(self) -> list[Work]:
+    def take_completed(self) -> list[Work]:
+        """The `on_done` functions of the work completed since the last call, in order."""
         with contextlib.suppress(BlockingIOError):
             os.eventfd_read(self.descriptor)
-        return [self.finished.popleft() for _ in range(len(self.finished))]
+        return [self.completed.popleft() for _ in range(len(self.completed))]
 
     def close(self) -> None:
-        self.waiting.put(None)
+        """Waits for the submitted work and ends the thread."""
+        self.pending.put(None)
         self.thread.join()
         os.close(self.descriptor)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -28,8 +28,8 @@
 from ospreybridge.standins.listservice import ListLink, TheList
 from ospreybridge.standins.office import Office, Processor
 
-KIND = Kind("lookup", 1.0, 10, 1, 2_000.0, 9_000.0, 60_000.0)
-TEXT = """
+LOOKUP = Kind("lookup", 1.0, 10, 1, 2_000.0, 9_000.0, 60_000.0)
+SETTINGS_TEMPLATE = """
 exchange "cs{n}" number={n} point-code={n} listen="127.0.0.1:0" {{ prefix "37{n}"; }}
 {peers}
 {tls}
@@ -40,8 +40,8 @@
 timers redial=50 heartbeat=400 handshake=1000 t1=300 t5=1000 t16=300 t22=300
 """
 
-TLS = """tls certificate="cs{n}.crt" key="cs{n}.key" trust="ca.crt" revoked="ca.crl" name="cs{n}.test" \\
-    listen="127.0.0.1:0" check-every=100 spread=200 {more}
+TLS_TEMPLATE = """tls certificate="cs{n}.crt" key="cs{n}.key" trust="ca.crt" revoked="ca.crl" \\
+    name="cs{n}.test" listen="127.0.0.1:0" check-every=100 spread=200 {more}
 """
 
 
@@ -54,15 +54,18 @@
         size: int = 3,
         group: int = 6,
         clock: Callable[[], float] | None = None,
-        tls: str | None = None,
+        tls_options: str | None = None,
     ) -> None:
         """`tls`: more keys of the tls nodes; None for plain links."""
-        self.tls, self.authority = tls, None if tls is None else CertificateAuthority.create(folder, 30.0)
-        self.said: list[dict[str, Any]] = []  # what the fronts logged
-        self.wall_shift = 0.0  # seconds by which the fronts' calendar is ahead
+        self.tls_options, self.authority = (
+            tls_options,
+            None if tls_options is None else CertificateAuthority.create(folder, 30.0),
+        )
+        self.log_records: list[dict[str, Any]] = []  # what the fronts logged
+        self.wall_clock_offset_s = 0.0  # seconds by which the fronts' calendar is ahead
         if self.authority is not None:
             self.authority.issue("standins", ["standins.test"])
-            self.standins = standin_set(folder)
+            self.standin_contexts = standin_contexts(folder)
         self.folder, self.size, self.group = folder, size, group
         self.loop = EventLoop(clock) if clock else EventLoop()
         self.tally: Counter[str] = Counter()
@@ -75,7 +78,7 @@
         for n in range(size, 0, -1):  # the higher numbers listen before the lower ones dial
             self.start(n)
         for n in range(1, size + 1):
-            self._surround(n)
+            self._attach_standins(n)
 
     def settings(self, n: int) -> ServerSettings:
         peers = "\n".join(
@@ -89,11 +92,11 @@
         file = self.folder / f"cs{n}.kdl"
         link, tls = "plain=true", ""
         if self.authority:
-            link, tls = 'tls="standins.test"', TLS.format(n=n, more=self.tls)
+            link, tls = 'tls="standins.test"', TLS_TEMPLATE.format(n=n, more=self.tls_options)
             if not (self.folder / f"cs{n}.key").exists():
                 self.authority.issue(f"cs{n}", [f"cs{n}.test"])
         given = {"office": 1_000 + n, "callers": 2_000 + n, "link": link, "tls": tls}
-        file.write_text(TEXT.format(n=n, peers=peers, **given))
+        file.write_text(SETTINGS_TEMPLATE.format(n=n, peers=peers, **given))
         return load(file)
 
     def start(self, n: int) -> None:
@@ -107,10 +110,14 @@
         self.call_servers[n] = CallServer(settings, self.loop.timers)
 
         def log(event: str, **fields: Any) -> None:
-            self.said.append({"event": event, "at": n} | fields)
+            self.log_records.append({"event": event, "at": n} | fields)
 
         self.fronts[n] = M3uaFront(
-            self.loop, settings, self.call_servers[n], log, wall=lambda: time.time() + self.wall_shift
+            self.loop,
+            settings,
+            self.call_servers[n],
+            log,
+            wall=lambda: time.time() + self.wall_clock_offset_s,
         )
         self.ports[n] = self.fronts[n].tls_port or self.fronts[n].port
 
@@ -122,13 +129,13 @@
         for channel in list(front.channels.values()):
             channel.stream.close("killed")
 
-    def _surround(self, n: int) -> None:
+    def _attach_standins(self, n: int) -> None:
         def place(code: int, context: int, size: int = 0) -> Place:
             cics = parse_cic_ranges([f"1-{size}"]) if size else ()
             server = Peer(
                 f"cs{n}", "exchange", n, context, dial_address=("", 0), cics=cics, tls_name=f"cs{n}.test"
             )
-            contexts = self.standins if self.authority else None
+            contexts = self.standin_contexts if self.authority else None
             return Place(self.loop, code, server, lambda: ("127.0.0.1", self.ports[n]), contexts)
 
         office, callers, delays = 1_000 + n, 2_000 + n, HdrHistogram(1, 60_000_000, 3)
@@ -153,7 +160,7 @@
         assert isinstance(found, Channel)
         return found
 
-    def reissue(self, *numbers: int, **more: Any) -> None:
+    def reissue_certificates(self, *numbers: int, **more: Any) -> None:
         """New certificates over the old files, on a thread: it waits for the disk, calls must not."""
         assert self.authority is not None
         issue = self.authority.issue
@@ -167,7 +174,7 @@
         self.run_until(lambda: not thread.is_alive(), 30_000)
 
     def call(self, origin: int, dest: int, serial: int) -> None:
-        self.callers[origin].wish(KIND, f"50{serial:06d}", f"37{dest}{serial:04d}")
+        self.callers[origin].wish(LOOKUP, f"50{serial:06d}", f"37{dest}{serial:04d}")
 
     def all_circuits_free(self) -> bool:
         """Every circuit of every group is free again at both ends."""
@@ -182,9 +189,9 @@
                     callers._hang_up(self.loop.now, wish)
 
 
-def standin_set(folder: Path, file: str = "standins", old: bool = False) -> TlsContexts:
+def standin_contexts(folder: Path, file: str = "standins", allow_12: bool = False) -> TlsContexts:
     paths = CredentialPaths(folder / f"{file}.crt", folder / f"{file}.key", folder / "ca.crt")
-    return TlsContexts(load_set(paths, time.time()), old)
+    return TlsContexts(load_set(paths, time.time()), allow_12)
 
 
 @contextmanager
@@ -193,16 +200,16 @@
     size: int = 3,
     group: int = 6,
     clock: Callable[[], float] | None = None,
-    tls: str | None = None,
+    tls_options: str | None = None,
 ) -> Iterator[Fleet]:
-    made = Fleet(folder, size, group, clock, tls)
+    running = Fleet(folder, size, group, clock, tls_options)
     try:
-        made.run_until(made.ready)
-        yield made
+        running.run_until(running.ready)
+        yield running
     finally:
-        for front in made.fronts.values():
+        for front in running.fronts.values():
             front.stop_listening()
-        made.loop.close()
+        running.loop.close()
 
 
 def connect(port: int) -> socket.socket:
@@ -211,4 +218,4 @@
     return sock
 
 
-__all__ = ["KIND", "Fleet", "IsupMessage", "connect", "fleet"]
+__all__ = ["LOOKUP", "Fleet", "IsupMessage", "connect", "fleet"]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -21,7 +21,7 @@
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH
 from ospreybridge.keys.validation import FailureReason
-from ospreybridge.keys.watch import DAY, Expiry
+from ospreybridge.keys.watch import DAY_S, ExpiryWarnings
 from ospreybridge.net.tls import TlsContexts
 
 
@@ -49,7 +49,7 @@
         validation.certificate_error(good, now, SERVER_AUTH, ()) is None
         and validation.certificate_error(good, now, CLIENT_AUTH, ()) is None
     )
-    common = certificate_info.from_certificate(authority.issue("cn", [], common="cs1.test"))
+    common = certificate_info.from_certificate(authority.issue("cn", [], common_name="cs1.test"))
     assert not validation.certificate_has_name(common, "cs1.test", True)  # the CN is no name
     assert validation.certificate_error(good, good.not_after + 1, SERVER_AUTH, ()) is FailureReason.EXPIRED
     assert (
@@ -114,13 +114,13 @@
 
 
 def test_expiry_is_told_once_a_stage_and_each_hour_on_the_last_day() -> None:
-    watch, end = Expiry((30.0, 7.0, 1.0)), 100 * DAY
-    told = [hour for hour in range(24 * 101) for _ in watch.due(hour * 3_600.0, {"cs1.crt": end})]
+    watch, end = ExpiryWarnings((30.0, 7.0, 1.0)), 100 * DAY_S
+    told = [hour for hour in range(24 * 101) for _ in watch.due_warnings(hour * 3_600.0, {"cs1.crt": end})]
     assert told[:3] == [70 * 24, 93 * 24, 99 * 24] and told[3:] == list(range(99 * 24 + 1, 24 * 101))
-    assert watch.due(101 * DAY, {"cs1.crt": 500 * DAY}) == []
-    assert watch.due(0.0, {"list": 6 * DAY}, "list") == []
-    assert len(watch.due(5.5 * DAY, {"list": 6 * DAY}, "list")) == 1
-    assert len(watch.due(480 * DAY, {"cs1.crt": 500 * DAY})) == 1  # the renewed one begins anew
+    assert watch.due_warnings(101 * DAY_S, {"cs1.crt": 500 * DAY_S}) == []
+    assert watch.due_warnings(0.0, {"list": 6 * DAY_S}, "list") == []
+    assert len(watch.due_warnings(5.5 * DAY_S, {"list": 6 * DAY_S}, "list")) == 1
+    assert len(watch.due_warnings(480 * DAY_S, {"cs1.crt": 500 * DAY_S})) == 1  # the renewed one begins anew
 
 
 def test_slots_are_bounded_and_a_stalled_peer_yields_its_own_to_a_newcomer() -> None:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,7 +19,7 @@
 from ospreybridge.net import tcp, tls
 from ospreybridge.net.loop import Task
 from ospreybridge.signalling import m3ua
-from tests.fleet import Fleet, connect, fleet, standin_set
+from tests.fleet import Fleet, connect, fleet, standin_contexts
 from tests.test_sockets import _ended, answered
 
 
@@ -40,15 +40,15 @@
     a, name = f.authority, ["standins.test", "cs2.test"]
     match reason:
         case FailureReason.WRONG_NAME:
-            a.issue("bad", ["mallory.test"], common="standins.test")
+            a.issue("bad", ["mallory.test"], common_name="standins.test")
         case FailureReason.UNKNOWN_ISSUER:
             CertificateAuthority.create(f.folder / "other", 9.0).issue("bad", name)
             for end in ("crt", "key"):
                 (f.folder / "other" / f"bad.{end}").rename(f.folder / f"bad.{end}")
         case FailureReason.EXPIRED:
-            a.issue("bad", name, days=-0.5, begins=-1.0)
+            a.issue("bad", name, days=-0.5, starts_in_days=-1.0)
         case FailureReason.NOT_YET_VALID:
-            a.issue("bad", name, days=3.0, begins=1.0)
+            a.issue("bad", name, days=3.0, starts_in_days=1.0)
         case FailureReason.REVOKED:
             a.write_revocation_list([a.issue("bad", name).serial_number])
             f.run_until(
@@ -93,7 +93,9 @@
 
 def logged(f: Fleet, reason: FailureReason, at: int) -> list[dict[str, Any]]:
     return [
-        w for w in f.said if w["event"] == "handshake refused" and w["reason"] == reason and w["at"] == at
+        w
+        for w in f.log_records
+        if w["event"] == "handshake refused" and w["reason"] == reason and w["at"] == at
     ]
 
 
@@ -111,7 +113,7 @@
 def test_a_peer_that_dials_with_a_bad_certificate_is_refused_by_name_every_time(
     tmp_path: Path, reason: FailureReason
 ) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         assert f.authority is not None
         file = bad(f, reason)
         if reason is FailureReason.WRONG_PURPOSE:
@@ -129,7 +131,7 @@
 def test_a_dialled_peer_with_a_bad_certificate_is_refused_by_name(
     tmp_path: Path, reason: FailureReason
 ) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         assert f.authority is not None
         file = bad(f, reason)
         if reason is FailureReason.WRONG_PURPOSE:
@@ -153,7 +155,7 @@
 
 
 def test_a_thousand_wrong_names_are_all_refused_while_calls_go_on(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         context = raw_context(tmp_path, bad(f, FailureReason.WRONG_NAME))
         ends: list[str] = []
         for _ in range(10):
@@ -171,7 +173,7 @@
 
 def test_a_name_of_one_peer_is_no_way_to_another_and_plain_is_refused(tmp_path: Path) -> None:
     """A valid certificate claims another's ASP identifier; plain octets come where TLS is due."""
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         hello = m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(2))])
         context = raw_context(tmp_path, "standins")
         before = f.fronts[1].links[2].current
@@ -203,7 +205,7 @@
 
 
 def test_peers_that_stop_in_the_handshake_hold_no_slot_from_others(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="slots=8") as f:
+    with fleet(tmp_path, size=2, tls_options="slots=8") as f:
         half = bytes.fromhex("16030102000100")
         most = served = 0
         for wave in range(10):
@@ -241,14 +243,14 @@
 
 
 def test_old_versions_and_renegotiation_are_refused(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         context = raw_context(tmp_path, "standins")
         context.maximum_version = ssl.TLSVersion.TLSv1_2
         ends: list[str] = []
         shaken(f, context, f.ports[1], ends)
         f.run_until(lambda: f.fronts[1].counts[f"tls {FailureReason.NO_COMMON_VERSION}"] == 1)
         f.run_until(lambda: ends == [FailureReason.NO_COMMON_VERSION])
-    with fleet(tmp_path / "old", size=2, tls="allow-1.2=true") as f:
+    with fleet(tmp_path / "old", size=2, tls_options="allow-1.2=true") as f:
         made = SSL.Context(SSL.TLS_CLIENT_METHOD)
         made.set_max_proto_version(SSL.TLS1_2_VERSION)
         made.use_certificate_file(str(f.folder / "standins.crt"))
@@ -279,7 +281,7 @@
 
 def test_truncation_with_calls_pending_loses_no_answer(tmp_path: Path) -> None:
     """The connection ends without close_notify: a lost link, told as truncated, and calls are set up anew."""
-    with fleet(tmp_path, tls="") as f:
+    with fleet(tmp_path, tls_options="") as f:
         f.offices[2].hung = True
         f.call(1, 2, 0)
         f.run_until(lambda: len(f.call_servers[2].calls) == 1)
@@ -293,14 +295,14 @@
 
 
 def test_calls_stand_when_a_certificate_ends_and_renewal_heals_without_a_restart(tmp_path: Path) -> None:
-    with fleet(tmp_path, tls="") as f:
+    with fleet(tmp_path, tls_options="") as f:
         assert f.authority is not None
-        f.reissue(1, days=5.0)
+        f.reissue_certificates(1, days=5.0)
         f.run_until(lambda: f.fronts[1].counts["links moved over"] == 2)
         for serial in range(3):
             f.call(1, 2, serial)
         f.run_until(lambda: answered(f.tally) == 3)
-        f.wall_shift = 6 * 86_400.0
+        f.wall_clock_offset_s = 6 * 86_400.0
         assert f.fronts[1].credentials is not None
         f.fronts[1].renewals.links[2].due = 0.0  # a move that falls due now is refused, the link stays
         f.run_until(lambda: len(logged(f, FailureReason.EXPIRED, 2)) >= 1)
@@ -309,8 +311,8 @@
         assert 3 not in f.call_servers[1].links and 2 in f.call_servers[1].links and f.tally["cut"] == 0
         f.call(1, 2, 5)
         f.run_until(lambda: answered(f.tally) == 4)
-        assert any(w["event"] == "has ended" and w["at"] == 1 for w in f.said)
-        f.reissue(1, days=25.0)
+        assert any(w["event"] == "has ended" and w["at"] == 1 for w in f.log_records)
+        f.reissue_certificates(1, days=25.0)
         f.run_until(lambda: 3 in f.call_servers[1].links, 15_000)
         f.run_until(
             lambda: f.channel(1, 2).handshake.credentials_digest == f.fronts[1].credentials.digest,  # type: ignore[union-attr]
@@ -320,7 +322,7 @@
 
 
 def test_a_ticket_does_not_outlive_the_revocation_of_its_certificate(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         assert f.authority is not None
         full = f.fronts[1].counts["tls full"]
         f.channel(1, 2).drop("cut by the test")
@@ -340,19 +342,19 @@
         f.channel(1, 2).drop("cut by the test")
         f.run_until(lambda: len(logged(f, FailureReason.REVOKED, 2)) >= 2)
         assert f.fronts[2].counts["tls resumed"] == 1 and 1 not in f.call_servers[2].links
-        assert any(w["event"] == "key set refused" and w["at"] == 1 for w in f.said)
-        f.reissue(1)
+        assert any(w["event"] == "key set refused" and w["at"] == 1 for w in f.log_records)
+        f.reissue_certificates(1)
         f.run_until(lambda: 2 in f.call_servers[1].links, 15_000)
 
 
 def test_two_renewals_at_once_with_calls_pending_lose_none(tmp_path: Path) -> None:
-    with fleet(tmp_path, tls="") as f:
+    with fleet(tmp_path, tls_options="") as f:
         assert f.authority is not None
         f.offices[2].slow = 40.0
         serial = 0
         for _ in range(4):
             moved = sum(front.counts["links moved over"] for front in f.fronts.values())
-            f.reissue(1, 2, 3)
+            f.reissue_certificates(1, 2, 3)
             for origin in (1, 3):
                 f.call(origin, 2, serial)
                 serial += 1
@@ -366,7 +368,7 @@
 
         f.run_until(settled, 15_000)
         f.run_until(lambda: answered(f.tally) == serial)
-        assert f.tally["cut"] == 0 and not any(w["event"] == "link down" for w in f.said)
+        assert f.tally["cut"] == 0 and not any(w["event"] == "link down" for w in f.log_records)
         f.run_until(
             lambda: all(len(front.channels) == 5 for front in f.fronts.values())
         )  # the old ones are left
@@ -375,7 +377,7 @@
 
 
 def test_a_half_written_set_is_refused_whole_and_the_old_one_stays(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
+    with fleet(tmp_path, size=2, tls_options="") as f:
         assert f.authority is not None and f.fronts[1].credentials is not None
         keys = f.fronts[1].credentials
         before, old_key = keys.digest, (tmp_path / "cs1.key").read_bytes()
@@ -385,20 +387,20 @@
         for certificate, key in ((whole[:300], new_key), (whole, old_key), (whole, new_key[:80])):
             (tmp_path / "cs1.crt").write_bytes(certificate)
             (tmp_path / "cs1.key").write_bytes(key)
-            told = len(f.said)
-            f.run_until(lambda n=told: any(w["event"] == "key set refused" for w in f.said[n:]))  # type: ignore[misc]
+            told = len(f.log_records)
+            f.run_until(lambda n=told: any(w["event"] == "key set refused" for w in f.log_records[n:]))  # type: ignore[misc]
             assert keys.digest == before
             f.fronts[1].check_credentials(keys, force=True)
             assert keys.digest == before
         (tmp_path / "cs1.key").write_bytes(new_key)
         f.run_until(lambda: keys.digest != before)
         f.run_until(lambda: f.fronts[1].counts["links moved over"] == 1)
-        assert not any(w["event"] == "link down" for w in f.said)
+        assert not any(w["event"] == "link down" for w in f.log_records)
 
 
 def test_a_stand_in_refuses_a_server_of_another_name(tmp_path: Path) -> None:
-    with fleet(tmp_path, size=2, tls="") as f:
-        contexts, ends = standin_set(tmp_path), []
+    with fleet(tmp_path, size=2, tls_options="") as f:
+        contexts, ends = standin_contexts(tmp_path), []
 
         def dial() -> Task:
             sock = yield from tcp.connect(f.loop, ("127.0.0.1", f.ports[1]), 2_000.0)
