--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Call servers with their fronts and stand-ins on one loop and real loopback sockets."""
+"""Call servers with their M3UA fronts and stand-ins for their peers, on one loop and loopback sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ospreybridge.fronts.m3ua import Channel, M3uaFront
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.keys.credentials import CredentialPaths
-from ospreybridge.keys.credentials import load as load_set
+from ospreybridge.keys.credentials import load as load_credentials
 from ospreybridge.net.loop import EventLoop
 from ospreybridge.net.tls import TlsContexts
 from ospreybridge.settings.server import Peer, ServerSettings, load, parse_cic_ranges
@@ -46,7 +46,7 @@
 
 
 class Fleet:
-    """`size` exchanges in a mesh; the lower number dials. `cores`, `offices`, `callers` are by number."""
+    """`size` exchanges in a full mesh; the lower number dials. Dictionaries are by exchange number."""
 
     def __init__(
         self,
@@ -56,13 +56,15 @@
         clock: Callable[[], float] | None = None,
         tls_options: str | None = None,
     ) -> None:
-        """`tls`: more keys of the tls nodes; None for plain links."""
+        """`group`: circuits of a trunk group; `tls_options`: more keys of the tls nodes, None for plain."""
         self.tls_options, self.authority = (
             tls_options,
             None if tls_options is None else CertificateAuthority.create(folder, 30.0),
         )
-        self.log_records: list[dict[str, Any]] = []  # what the fronts logged
-        self.wall_clock_offset_s = 0.0  # seconds by which the fronts' calendar is ahead
+        self.log_records: list[
+            dict[str, Any]
+        ] = []  # the fronts' log, each record with `at`, the exchange number
+        self.wall_clock_offset_s = 0.0  # added to the wall clock of the fronts
         if self.authority is not None:
             self.authority.issue("standins", ["standins.test"])
             self.standin_contexts = standin_contexts(folder)
@@ -81,6 +83,7 @@
             self._attach_standins(n)
 
     def settings(self, n: int) -> ServerSettings:
+        """Writes the settings file of an exchange, with its certificate if it has none yet, and loads it."""
         peers = "\n".join(
             f'peer "cs{m}" role="exchange" number={m} point-code={m} context={min(n, m) * 10 + max(n, m)} '
             + (f'tls="cs{m}.test" ' if self.authority else "plain=true ")
@@ -95,11 +98,12 @@
             link, tls = 'tls="standins.test"', TLS_TEMPLATE.format(n=n, more=self.tls_options)
             if not (self.folder / f"cs{n}.key").exists():
                 self.authority.issue(f"cs{n}", [f"cs{n}.test"])
-        given = {"office": 1_000 + n, "callers": 2_000 + n, "link": link, "tls": tls}
-        file.write_text(SETTINGS_TEMPLATE.format(n=n, peers=peers, **given))
+        values = {"office": 1_000 + n, "callers": 2_000 + n, "link": link, "tls": tls}
+        file.write_text(SETTINGS_TEMPLATE.format(n=n, peers=peers, **values))
         return load(file)
 
     def start(self, n: int) -> None:
+        """Starts an exchange; a restarted one listens on its old port."""
         settings = self.settings(n)
         if n in self.ports:
             at = ("127.0.0.1", self.ports[n])
@@ -122,9 +126,11 @@
         self.ports[n] = self.fronts[n].tls_port or self.fronts[n].port
 
     def kill(self, n: int) -> None:
-        """The process is gone without a word: sockets close, nothing is remembered."""
+        """Simulates a crash: all sockets close without a release, and the state is lost."""
         front = self.fronts[n]
-        front.core = CallServer(front.settings, type(self.loop.timers)())  # what still happens reaches no one
+        front.core = CallServer(
+            front.settings, type(self.loop.timers)()
+        )  # later events reach an unused call server
         front.stop_listening()
         for channel in list(front.channels.values()):
             channel.stream.close("killed")
@@ -144,9 +150,11 @@
         ListLink(place(16_000, 9), self.exchange_list)
 
     def run_until(self, condition: Callable[[], bool], within: float = 8_000.0) -> None:
+        """Runs the loop until the condition holds; fails if it does not within `within` milliseconds."""
         assert self.loop.run_until(condition, within), f"not within {within} ms; tally {dict(self.tally)}"
 
     def ready(self) -> bool:
+        """Whether all links are up, exchange lists loaded and circuits free."""
         return all(
             len(core.links) == self.size + 2
             and len(core.exchange_list.entries) == self.size
@@ -155,13 +163,13 @@
         ) and all(self.offices[n].up and self.callers[n].up for n in self.call_servers)
 
     def channel(self, n: int, to: int) -> Channel:
-        """The connection that carries the link from one exchange to another now."""
-        found = self.fronts[n].links[to].current
-        assert isinstance(found, Channel)
-        return found
+        """The connection that carries the link from exchange `n` to exchange `to` now."""
+        channel = self.fronts[n].links[to].current
+        assert isinstance(channel, Channel)
+        return channel
 
     def reissue_certificates(self, *numbers: int, **more: Any) -> None:
-        """New certificates over the old files, on a thread: it waits for the disk, calls must not."""
+        """Replaces certificates on disk, on a thread, so that disk writes do not delay calls on the loop."""
         assert self.authority is not None
         issue = self.authority.issue
 
@@ -174,15 +182,17 @@
         self.run_until(lambda: not thread.is_alive(), 30_000)
 
     def call(self, origin: int, dest: int, serial: int) -> None:
+        """Has a caller of exchange `origin` call a number of exchange `dest`."""
         self.callers[origin].wish(LOOKUP, f"50{serial:06d}", f"37{dest}{serial:04d}")
 
     def all_circuits_free(self) -> bool:
-        """Every circuit of every group is free again at both ends."""
+        """Whether every circuit of every trunk group is free at both ends."""
         return all(
             group.free == group.size for core in self.call_servers.values() for group in core.groups.values()
         )
 
     def hang_up_all(self) -> None:
+        """Has the callers release all established calls."""
         for callers in self.callers.values():
             for wish in list(callers.on.values()):
                 if wish.stood:
@@ -190,8 +200,9 @@
 
 
 def standin_contexts(folder: Path, file: str = "standins", allow_12: bool = False) -> TlsContexts:
+    """TLS contexts of the stand-ins, from a certificate of the test authority."""
     paths = CredentialPaths(folder / f"{file}.crt", folder / f"{file}.key", folder / "ca.crt")
-    return TlsContexts(load_set(paths, time.time()), allow_12)
+    return TlsContexts(load_credentials(paths, time.time()), allow_12)
 
 
 @contextmanager
@@ -202,6 +213,7 @@
     clock: Callable[[], float] | None = None,
     tls_options: str | None = None,
 ) -> Iterator[Fleet]:
+    """A running fleet whose links are all up; parameters as of Fleet."""
     running = Fleet(folder, size, group, clock, tls_options)
     try:
         running.run_until(running.ready)
@@ -213,6 +225,7 @@
 
 
 def connect(port: int) -> socket.socket:
+    """A non-blocking connection to a loopback port."""
     sock = socket.create_connection(("127.0.0.1", port))
     sock.setblocking(False)
     return sock
