--- a/ospreybridge/signalling/jsonl.py
+++ b/ospreybridge/signalling/jsonl.py
@@ -68,18 +68,18 @@
     kind, uid, meta = tree.get("kind"), tree.get("uid", ""), tree.get("meta", {})
     reason, body = tree.get("reason", 0), tree.get("body")
     if not isinstance(kind, str) or kind not in KINDS:
-        raise MessageError("kind: unknown message kind")
+        raise MessageError("kind: not a kind of message")
     if not isinstance(uid, str) or (uid and not _ID.fullmatch(uid)) or (not uid and kind != USAGE):
         raise MessageError("uid: 16 hex digits were expected")
     if not isinstance(meta, dict) or len(meta) > MAX_FIELDS:
         raise MessageError("meta: an object of a few fields was expected")
     for value in meta.values():
         if isinstance(value, bool) or not isinstance(value, str | int | float):
-            raise MessageError("meta: strings and numbers were expected")
+            raise MessageError("meta: texts and numbers were expected")
     if isinstance(reason, bool) or not isinstance(reason, int) or not 0 <= reason <= MAX_CAUSE:
         raise MessageError(f"reason: a whole number from 0 to {MAX_CAUSE} was expected")
     if body is not None and not isinstance(body, str):
-        raise MessageError("body: a string was expected")
+        raise MessageError("body: a text was expected")
     return Message(kind, uid, meta, reason, body)
 
 
@@ -109,11 +109,11 @@
     if text is None or text == "":
         return {}
     if not isinstance(text, str) or len(text) > 512:
-        raise MessageError("extras: pairs such as a:1;b:2 were expected")
+        raise MessageError("extras: words like a:1;b:2 were expected")
     pairs: dict[str, str] = {}
     for pair in text.split(";"):
         name, colon, value = pair.partition(":")
         if not colon or not name or name in pairs:
-            raise MessageError("extras: pairs such as a:1;b:2 were expected")
+            raise MessageError("extras: words like a:1;b:2 were expected")
         pairs[name] = value
     return pairs
