--- a/ospreybridge/settings/instance.py
+++ b/ospreybridge/settings/instance.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 
-COLUMNS = {
+REPORT_COLUMNS = {
     "free": "free",
     "size": "size",
     "rif": "working",
@@ -36,12 +36,12 @@
     @classmethod
     def from_json(cls, tree: dict[str, Any]) -> SettingPairs:
         """The same pairs from nested JSON; ValueError names a key whose form makes no sense."""
-        return cls(dict(flatten(tree)))
+        return cls(dict(flatten_json(tree)))
 
-    def items(self, path: str) -> list[str]:
+    def list_of(self, path: str) -> list[str]:
         return [part for part in self.values.get(path, "").split(",") if part]
 
-    def fill(self, prefix: str, keys: dict[str, tuple[str, object]]) -> dict[str, object]:
+    def read_fields(self, prefix: str, keys: dict[str, tuple[str, object]]) -> dict[str, object]:
         """Fields present under `prefix`, each turned by its converter."""
         found: dict[str, object] = {}
         for name, (path, convert) in keys.items():
@@ -54,22 +54,22 @@
         return found
 
 
-def flatten(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten_json(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
     """Pairs of a JSON value: a list of plain values joined by commas, one of objects counted and numbered."""
     if isinstance(tree, dict):
         for key, value in tree.items():
-            yield from flatten(value, f"{path}.{key}" if path else key)
+            yield from flatten_json(value, f"{path}.{key}" if path else key)
     elif isinstance(tree, list) and any(isinstance(item, dict | list) for item in tree):
         yield f"{path}.count", str(len(tree))
         for number, item in enumerate(tree):
-            yield from flatten(item, f"{path}.{number}")
+            yield from flatten_json(item, f"{path}.{number}")
     elif isinstance(tree, list):
-        yield path, ",".join(_plain(path, item) for item in tree)
+        yield path, ",".join(_scalar_text(path, item) for item in tree)
     else:
-        yield path, _plain(path, tree)
+        yield path, _scalar_text(path, tree)
 
 
-def _plain(path: str, value: Any) -> str:
+def _scalar_text(path: str, value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if value is None:
@@ -79,24 +79,24 @@
     raise ValueError(f"{path}: a plain value was expected")
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     return text == "true"
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     return int(float(text))
 
 
-LIMITS = {
-    "cancel": ("Cancel", _flag),
-    "max_tries": ("MostTries", _count),
-    "probes": ("Probes", _flag),
-    "peer_messages": ("PeerMessages", _flag),
-    "retry_after": ("RetryAfter", _flag),
+LIMIT_KEYS = {
+    "cancel": ("Cancel", _parse_flag),
+    "max_tries": ("MostTries", _parse_count),
+    "probes": ("Probes", _parse_flag),
+    "peer_messages": ("PeerMessages", _parse_flag),
+    "retry_after": ("RetryAfter", _parse_flag),
     "max_retry_after": ("MaxRetryAfter", float),
     "dial_timeout": ("DialTimeout", float),
 }
-RULES = {
+RULE_KEYS = {
     "grace_to_answer": ("GraceToAnswer", float),
     "drain_grace": ("DrainGrace", float),
     "ask_within": ("AskWithin", float),
@@ -105,80 +105,80 @@
     "overload_factor": ("OverloadFactor", float),
     "overload_for": ("OverloadFor", float),
 }
-GOAL = {
+GOAL_KEYS = {
     "whole": ("Whole", float),
     "worst_window": ("WorstWindow", float),
     "worst_class": ("WorstClass", float),
     "worst_tenant": ("WorstTenant", float),
 }
-CLASS = {
+CLASS_KEYS = {
     "on_time": ("OnTime", float),
     "deadline": ("Deadline", float),
     "importance": ("Importance", float),
     "late_worth": ("LateWorth", float),
-    "semantics": ("Semantics", i.Semantics),
-    "retry_scope": ("Group", i.RetryScope),
+    "semantics": ("Semantics", interface.Semantics),
+    "retry_scope": ("Group", interface.RetryScope),
     "retry_window": ("Window", float),
     "name": ("Name", str),
 }
-TENANT = {"quota_per_s": ("QuotaPerS", float), "share": ("Share", float), "name": ("Name", str)}
-TOP = {
-    "layout": ("FamilyInfo.Layout", i.Layout),
-    "discovery": ("Discovery", i.Discovery),
-    "own_exchange": ("FamilyInfo.ThisNode", _count),
-    "server_index": ("Me", _count),
-    "server_count": ("PeersTotal", _count),
-    "zone": ("Locality", _count),
+TENANT_KEYS = {"quota_per_s": ("QuotaPerS", float), "share": ("Share", float), "name": ("Name", str)}
+TOP_LEVEL_KEYS = {
+    "layout": ("FamilyInfo.Layout", interface.Layout),
+    "discovery": ("Discovery", interface.Discovery),
+    "own_exchange": ("FamilyInfo.ThisNode", _parse_count),
+    "server_index": ("Me", _parse_count),
+    "server_count": ("PeersTotal", _parse_count),
+    "zone": ("Locality", _parse_count),
     "tick": ("Round", float),
     "over_share_worth": ("OverShareWorth", float),
-    "redials_marked": ("Callers.MarksRetry", _flag),
-    "reports_wait": ("FamilyInfo.TellsWait", _flag),
-    "route_advice": ("FamilyInfo.RouteAdvice", _flag),
+    "redials_marked": ("Callers.MarksRetry", _parse_flag),
+    "reports_wait": ("FamilyInfo.TellsWait", _parse_flag),
+    "route_advice": ("FamilyInfo.RouteAdvice", _parse_flag),
 }
 
 
-def _classes(pairs: SettingPairs) -> tuple[i.CallClass, ...]:
-    holds, widths = pairs.items("FamilyInfo.ClassHold"), pairs.items("FamilyInfo.ClassWidth")
+def _classes(pairs: SettingPairs) -> tuple[interface.CallClass, ...]:
+    holds, widths = pairs.list_of("FamilyInfo.ClassHold"), pairs.list_of("FamilyInfo.ClassWidth")
     classes = []
-    for index in range(_count(pairs.values.get("Classes.count", "0"))):
+    for index in range(_parse_count(pairs.values.get("Classes.count", "0"))):
         fields: dict[str, object] = {"on_time": 0.0, "deadline": 0.0}
-        fields |= pairs.fill(f"Classes.{index}.", CLASS)  # type: ignore[arg-type]
+        fields |= pairs.read_fields(f"Classes.{index}.", CLASS_KEYS)  # type: ignore[arg-type]
         if index < len(holds):
             fields["hold"] = float(holds[index])
         if index < len(widths):
             fields["width"] = float(widths[index])
-        cells = pairs.items(f"FamilyInfo.ClassCells.{index}")
-        fields["allowed_pools"] = tuple(_count(cell) for cell in cells)
-        classes.append(i.CallClass(**fields))  # type: ignore[arg-type]
+        cells = pairs.list_of(f"FamilyInfo.ClassCells.{index}")
+        fields["allowed_pools"] = tuple(_parse_count(cell) for cell in cells)
+        classes.append(interface.CallClass(**fields))  # type: ignore[arg-type]
     return tuple(classes)
 
 
-def read_settings(pairs: SettingPairs) -> tuple[i.Settings, tuple[str, ...]]:
+def read_settings(pairs: SettingPairs) -> tuple[interface.Settings, tuple[str, ...]]:
     """Settings for the controller, and the columns of its load reports; ValueError names the key."""
     tenants = tuple(
-        i.Tenant(**pairs.fill(f"Customers.{index}.", TENANT))  # type: ignore[arg-type]
-        for index in range(_count(pairs.values.get("Customers.count", "0")))
+        interface.Tenant(**pairs.read_fields(f"Customers.{index}.", TENANT_KEYS))  # type: ignore[arg-type]
+        for index in range(_parse_count(pairs.values.get("Customers.count", "0")))
     )
-    rules = pairs.fill("Rules.", RULES)  # type: ignore[arg-type]
-    rules |= pairs.fill("FamilyInfo.", {"release": ("Guard", float)})
-    settings = i.Settings(
+    rules = pairs.read_fields("Rules.", RULE_KEYS)  # type: ignore[arg-type]
+    rules |= pairs.read_fields("FamilyInfo.", {"release": ("Guard", float)})
+    settings = interface.Settings(
         classes=_classes(pairs),
         tenants=tenants,
-        goal=i.Goal(**pairs.fill("Goal.", GOAL)),  # type: ignore[arg-type]
-        limits=i.Limits(**pairs.fill("Limits.", LIMITS)),  # type: ignore[arg-type]
-        rules=i.Rules(**rules),  # type: ignore[arg-type]
-        **pairs.fill("", TOP),  # type: ignore[arg-type]
+        goal=interface.Goal(**pairs.read_fields("Goal.", GOAL_KEYS)),  # type: ignore[arg-type]
+        limits=interface.Limits(**pairs.read_fields("Limits.", LIMIT_KEYS)),  # type: ignore[arg-type]
+        rules=interface.Rules(**rules),  # type: ignore[arg-type]
+        **pairs.read_fields("", TOP_LEVEL_KEYS),  # type: ignore[arg-type]
     )
-    return settings, tuple(pairs.items("Stats.Columns"))
+    return settings, tuple(pairs.list_of("Stats.Columns"))
 
 
-def read_report(columns: tuple[str, ...], values: tuple[float, ...]) -> i.Report | None:
+def read_report(columns: tuple[str, ...], values: tuple[float, ...]) -> interface.Report | None:
     """A load report from the values in the order of the columns; below 0 means not told."""
     if not values:
         return None
     named = {
-        COLUMNS[column]: value
+        REPORT_COLUMNS[column]: value
         for column, value in zip(columns, values, strict=False)
-        if column in COLUMNS and value >= 0
+        if column in REPORT_COLUMNS and value >= 0
     }
-    return i.Report(**named)
+    return interface.Report(**named)
--- a/ospreybridge/simhost.py
+++ b/ospreybridge/simhost.py
@@ -7,35 +7,38 @@
 from dataclasses import replace
 from typing import BinaryIO
 
-from ospreybridge import interface as i
-from ospreybridge import wire
+from ospreybridge import interface, wire
 from ospreybridge.policy import Controller
 from ospreybridge.settings.instance import SettingPairs, read_report, read_settings
 
 
-class Host:
+class InstanceHost:
     """The instances of one process, kept apart as if each ran on a machine of its own."""
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
         self.columns: dict[int, tuple[str, ...]] = {}
-        self.lists: wire.Lists = {}
+        self.lists: wire.NumberedLists = {}
 
-    def answer(self, count: int, body: bytes) -> bytes:
-        now, events = wire.decode_body(count, body, self.lists)
-        actions: list[tuple[int, i.Action | wire.Fault]] = []
+    def handle_batch(self, count: int, body: bytes) -> bytes:
+        now, events = wire.decode_batch(count, body, self.lists)
+        actions: list[tuple[int, interface.Action | wire.Fault]] = []
         for inst, event, raw in events:
             try:
-                actions += [(inst, action) for action in self._one(now, inst, event, raw)]
+                actions += [(inst, action) for action in self._handle_event(now, inst, event, raw)]
             except wire.WireError:
                 raise
             except Exception:
                 actions.append((inst, wire.Fault(traceback.format_exc())))
         return wire.encode_reply(actions)
 
-    def _one(
-        self, now: float, inst: int, event: wire.Provision | wire.Retire | i.Event, raw: wire.RawReport
-    ) -> list[i.Action]:
+    def _handle_event(
+        self,
+        now: float,
+        inst: int,
+        event: wire.Provision | wire.Retire | interface.Event,
+        raw: wire.RawReport,
+    ) -> list[interface.Action]:
         if isinstance(event, wire.Provision):
             settings, columns = read_settings(SettingPairs.from_text(event.settings))
             self.controllers[inst] = Controller(settings, event.seed)
@@ -46,12 +49,12 @@
             return []
         if inst not in self.controllers:
             raise wire.WireError(f"instance {inst} was never provisioned")
-        if isinstance(event, i.Outcome | i.Probed):
+        if isinstance(event, interface.Outcome | interface.Probed):
             event = replace(event, report=read_report(self.columns[inst], raw.values))
         return self.controllers[inst].handle(now, event)
 
 
-def _read(source: BinaryIO, size: int) -> bytes:
+def _read_exact(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
         raise wire.WireError(f"input ended {size - len(data)} bytes early")
@@ -59,11 +62,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    host = Host()
+    host = InstanceHost()
     while head := source.read(wire.HEADER.size):
-        head += _read(source, wire.HEADER.size - len(head))
+        head += _read_exact(source, wire.HEADER.size - len(head))
         count, length = wire.HEADER.unpack(head)
-        sink.write(host.answer(count, _read(source, length)))
+        sink.write(host.handle_batch(count, _read_exact(source, length)))
         sink.flush()
 
 
