--- a/ospreybridge/policy.py
+++ b/ospreybridge/policy.py
@@ -181,8 +181,8 @@
         # Calls seen per tenant, decaying with TRAFFIC_HALF_LIFE_MS.
         self.tenant_calls, self.tenant_calls_at = [0.0 for _ in settings.tenants], 0.0
         # Least circuit time (holding time times width, ms) of all classes.
-        self.min_circuit_time = max(1.0, min(kind.hold * kind.width for kind in settings.classes))
-        self.on_time = min(kind.on_time for kind in settings.classes)
+        self.min_circuit_time = max(1.0, min(each.hold * each.width for each in settings.classes))
+        self.on_time = min(each.on_time for each in settings.classes)
         self.last_late_path: list[Exchange] = []  # path of the last late or missing answer
         self.recent_sends: deque[float] = deque()  # times of own set-ups in SEND_HISTORY_MS
         self.usual_setup_time = 0.0  # ms from sending to establishment, smoothed
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -220,8 +220,8 @@
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
     settings, columns = read_settings(SettingPairs.from_text(SETTINGS))
     assert columns == ("free", "size", "lat_ms")
-    assert [kind.width for kind in settings.classes] == [1.0, 2.0]
-    assert [kind.hold for kind in settings.classes] == [12_400.0, 9_000.0]
+    assert [call_class.width for call_class in settings.classes] == [1.0, 2.0]
+    assert [call_class.hold for call_class in settings.classes] == [12_400.0, 9_000.0]
     assert settings.classes[1].semantics is interface.Semantics.GUARDED
     assert settings.classes[1].retry_scope is interface.RetryScope.ZONE
     assert settings.tenants == (interface.Tenant(22.0, 0.65),)
@@ -237,7 +237,7 @@
     text = SETTINGS + cells
     settings, _ = read_settings(SettingPairs.from_text(text.replace("Layout=mesh", "Layout=pools")))
     assert settings.layout is interface.Layout.POOLS
-    assert [kind.allowed_pools for kind in settings.classes] == [(1, 2), (3,)]
+    assert [call_class.allowed_pools for call_class in settings.classes] == [(1, 2), (3,)]
 
 
 def test_a_new_provision_replaces_one_instance_and_no_other() -> None:
