--- a/ospreybridge/access/admission.py
+++ b/ospreybridge/access/admission.py
@@ -10,30 +10,32 @@
 
 from ospreybridge.access.calls import Client
 
-KEPT = 24  # descriptors for the loop, the listener, the journal service, peers, logs and files
-OFFICES_SHARE = 0.45  # of the rest: connections to offices; callers hold a third of all at most
-FIRST_WORD = 1_500.0  # ms in which a new connection has to say something sound
-MOST_OPEN = 256  # set-ups that one connection may have open
-MOST_OPEN_ALL = 2_000  # set-ups open together: a Python object of some KB each, within 32 MB
+RESERVED_DESCRIPTORS = (
+    24  # descriptors for the loop, the listener, the journal service, peers, logs and files
+)
+OFFICE_SHARE = 0.45  # of the rest: connections to offices; callers hold a third of all at most
+FIRST_MESSAGE_TIMEOUT_MS = 1_500.0  # ms in which a new connection has to say something sound
+MAX_OPEN_PER_CLIENT = 256  # set-ups that one connection may have open
+MAX_OPEN_TOTAL = 2_000  # set-ups open together: a Python object of some KB each, within 32 MB
 
 
 class Admission:
     def __init__(self, sockets: int) -> None:
-        free = max(8, sockets - KEPT)
-        self.office_links = max(4, int(free * OFFICES_SHARE))
-        self.clients = free - self.office_links
+        free = max(8, sockets - RESERVED_DESCRIPTORS)
+        self.max_office_connections = max(4, int(free * OFFICE_SHARE))
+        self.max_clients = free - self.max_office_connections
 
-    def makes_room(self, clients: Iterable[Client]) -> Client | None:
+    def client_to_evict(self, clients: Iterable[Client]) -> Client | None:
         """The connection to close before another is taken in; None where every one has an open set-up."""
-        idle = [client for client in clients if not client.calls]
-        return min(idle, key=lambda client: (client.trust, client.active), default=None)
+        idle = [client for client in clients if not client.pending_calls]
+        return min(idle, key=lambda client: (client.trust, client.last_active), default=None)
 
-    def full(self, count: int) -> bool:
-        return count >= self.clients
+    def is_full(self, count: int) -> bool:
+        return count >= self.max_clients
 
-    def may_open(self, client: Client, pending: int) -> bool:
-        return len(client.calls) < MOST_OPEN and pending < MOST_OPEN_ALL
+    def accepts_set_up(self, client: Client, pending: int) -> bool:
+        return len(client.pending_calls) < MAX_OPEN_PER_CLIENT and pending < MAX_OPEN_TOTAL
 
-    def mute(self, now: float, clients: Iterable[Client]) -> list[Client]:
+    def silent_clients(self, now: float, clients: Iterable[Client]) -> list[Client]:
         """Connections that said nothing sound in their time."""
-        return [c for c in clients if not c.trust and now - c.opened >= FIRST_WORD]
+        return [c for c in clients if not c.trust and now - c.opened_at >= FIRST_MESSAGE_TIMEOUT_MS]
--- a/ospreybridge/access/feed.py
+++ b/ospreybridge/access/feed.py
@@ -8,30 +8,30 @@
 
 from random import Random
 
-SILENCE = 1_700.0  # ms without a frame: an empty one is due each second
-DIAL_WITHIN = 500.0  # ms for a connection to come up
-FIRST_PAUSE = 40.0  # ms before the first new attempt
-LONGEST_PAUSE = 640.0  # ms: told counts at the latest two seconds after a break
+SILENCE_TIMEOUT_MS = 1_700.0  # ms without a frame: an empty one is due each second
+DIAL_TIMEOUT_MS = 500.0  # ms for a connection to come up
+FIRST_RETRY_DELAY_MS = 40.0  # ms before the first new attempt
+MAX_RETRY_DELAY_MS = 640.0  # ms: told counts at the latest two seconds after a break
 
 
-class Feed:
+class JournalFeed:
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
-        self.heard = 0.0
+        self.last_received = 0.0
         self.failures = 0
 
-    def opened(self, now: float) -> None:
-        self.heard = now
+    def connected(self, now: float) -> None:
+        self.last_received = now
 
-    def frame(self, now: float) -> None:
+    def frame_received(self, now: float) -> None:
         """A sound frame came."""
-        self.heard, self.failures = now, 0
+        self.last_received, self.failures = now, 0
 
-    def silent(self, now: float) -> bool:
-        return now - self.heard >= SILENCE
+    def is_silent(self, now: float) -> bool:
+        return now - self.last_received >= SILENCE_TIMEOUT_MS
 
-    def pause(self) -> float:
+    def next_retry_delay(self) -> float:
         """Milliseconds before the next attempt, after one that told nothing."""
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0**self.failures)
+        pause = min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2.0**self.failures)
         self.failures = min(self.failures + 1, 16)
         return pause * self.random.uniform(0.5, 1.0)
--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -12,106 +12,108 @@
 from random import Random
 from typing import Any, Protocol
 
-from ospreybridge import interface as i
-from ospreybridge.access import calls as c
+from ospreybridge import interface
+from ospreybridge.access import calls
 from ospreybridge.access.admission import Admission
 from ospreybridge.access.calls import Attempt, Call, Client, Stage
-from ospreybridge.access.offices import Offices
-from ospreybridge.access.pool import Link, Pool
+from ospreybridge.access.offices import OfficeList
+from ospreybridge.access.pool import ConnectionPool, OfficeConnection
 from ospreybridge.access.releases import Release, Releases
 from ospreybridge.core.timers import TimerQueue
 from ospreybridge.policy import Controller
 from ospreybridge.settings.instance import read_report
-from ospreybridge.settings.platform import Address, Platform
+from ospreybridge.settings.platform import Address, PlatformConfig
 from ospreybridge.signalling import causes, frames, jsonl
 from ospreybridge.signalling.errors import MessageError
 from ospreybridge.signalling.jsonl import Message
 
-REFUSALS = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER_EXPIRY)  # trying again is harmless
-RESET = causes.TEMPORARY_FAILURE  # an office's word for a set-up or a call that was cut
-MOOT = causes.TIMER_EXPIRY  # an office's word for a set-up that never left
-SLACK = 50.0  # ms by which the platform lengthens each of the rules' times
-UPKEEP = 50.0  # ms between looks at connections
-MOST_STANDING = 20_000  # calls that stand: some hundred octets each
-EARLY_KEPT = 4_000  # releases of calls not known (yet), after a restart
-MOST_DATAGRAM = 256  # octets
-STOP_TAKES = 700.0  # ms after SIGTERM in which clients are still taken in and served as usual
-STOP_TRANSIT = 2_500.0  # ms after SIGTERM in which calls in transit, which go on coming, are served
-STOP_ENDS = 3_500.0  # ms after SIGTERM: the last answers, before the earliest SIGKILL
-NOTES = {
-    "no_path": i.Note.NO_CIRCUIT,
-    "sent_back": i.Note.TURNED_BACK,
-    "end_queue_long": i.Note.TURNED_BACK,
-    "queue_long": i.Note.PROCESSOR_FULL,
-    "line_taken": i.Note.LINES_BUSY,
+REFUSAL_CAUSES = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER_EXPIRY)  # trying again is harmless
+RESET_CAUSE = causes.TEMPORARY_FAILURE  # an office's word for a set-up or a call that was cut
+MOOT_CAUSE = causes.TIMER_EXPIRY  # an office's word for a set-up that never left
+ANSWER_SLACK_MS = 50.0  # ms by which the platform lengthens each of the rules' times
+MAINTENANCE_INTERVAL_MS = 50.0  # ms between looks at connections
+MAX_ESTABLISHED = 20_000  # calls that stand: some hundred octets each
+MAX_EARLY_RELEASES = 4_000  # releases of calls not known (yet), after a restart
+MAX_DATAGRAM_BYTES = 256  # octets
+STOP_ACCEPT_MS = 700.0  # ms after SIGTERM in which clients are still taken in and served as usual
+STOP_ACCEPT_TRANSIT_MS = 2_500.0  # ms after SIGTERM in which calls in transit, which go on coming, are served
+STOP_FINAL_MS = 3_500.0  # ms after SIGTERM: the last answers, before the earliest SIGKILL
+NOTE_BY_WORD = {
+    "no_path": interface.Note.NO_CIRCUIT,
+    "sent_back": interface.Note.TURNED_BACK,
+    "end_queue_long": interface.Note.TURNED_BACK,
+    "queue_long": interface.Note.PROCESSOR_FULL,
+    "line_taken": interface.Note.LINES_BUSY,
 }
-BEYOND_FULL = 1.0  # ms: a wait that tells a full processor beyond from a circuit beyond, where none is told
+REMOTE_BUSY_WAIT_MS = (
+    1.0  # ms: a wait that tells a full processor beyond from a circuit beyond, where none is told
+)
 
 
-class Port(Protocol):
+class Transport(Protocol):
     """What the front carries out. Connections are numbers, given by this side."""
 
     def dial(self, conn: int, address: Address) -> None: ...
     def send(self, conn: int, data: bytes) -> None: ...
     def close(self, conn: int, reason: str) -> None: ...
-    def datagram(self, to: Address, body: bytes) -> None: ...
+    def send_datagram(self, to: Address, body: bytes) -> None: ...
 
 
-class Server:
+class PlatformServer:
     def __init__(
         self,
-        platform: Platform,
+        config: PlatformConfig,
         timers: TimerQueue,
-        port: Port,
+        transport: Transport,
         now: float,
-        unix: float,
+        unix_offset_ms: float,
         log: Callable[..., None] | None = None,
         trace: Callable[..., None] | None = None,
     ) -> None:
         """`unix`: Unix milliseconds at zero of the clock that `now` is of; `trace` is told each message."""
-        self.p, self.timers, self.port, self.log, self.trace = platform, timers, port, log, trace
-        self.s = platform.settings
-        self.module = Controller(self.s, platform.seed)
-        self.random = Random(platform.seed + 1)
-        self.reader = c.Reader(self.s)
-        self.admission = Admission(platform.sockets)
-        self.offices = Offices(max(1, len(platform.zones)), max(1, len(platform.kinds)), unix)
-        self.peers = {address: number for number, address in enumerate(platform.peers)}
+        self.config, self.timers, self.transport, self.log, self.trace = config, timers, transport, log, trace
+        self.settings = config.settings
+        self.controller = Controller(self.settings, config.seed)
+        self.random = Random(config.seed + 1)
+        self.set_up_parser = calls.SetUpParser(self.settings)
+        self.admission = Admission(config.sockets)
+        self.office_list = OfficeList(max(1, len(config.zones)), max(1, len(config.kinds)), unix_offset_ms)
+        self.peer_numbers = {address: number for number, address in enumerate(config.peers)}
         self.clients: dict[int, Client] = {}
-        self.pools: dict[int, Pool] = {}
-        self.linked: dict[int, Pool] = {}  # by connection, open or being opened
-        self.calls: dict[int, Call] = {}  # what the module may speak of
+        self.pools: dict[int, ConnectionPool] = {}
+        self.pool_by_connection: dict[int, ConnectionPool] = {}  # by connection, open or being opened
+        self.calls_by_ref: dict[int, Call] = {}  # what the module may speak of
         self.pending: dict[str, Call] = {}
-        self.standing: dict[str, Call] = {}
-        self.standing_at: dict[int, dict[str, Call]] = {}
+        self.established: dict[str, Call] = {}
+        self.established_by_office: dict[int, dict[str, Call]] = {}
         self.releases = Releases()
-        self.early: OrderedDict[str, int] = OrderedDict()  # releases of calls not known: cause
-        self.checks: dict[str, tuple[int, float]] = {}  # probes: office, when sent
-        self.events: deque[i.Event] = deque()
-        self.busy = False
-        self.last_ref = self.last_conn = 0
-        self.stopping: float | None = None  # when SIGTERM came
+        self.early_releases: OrderedDict[str, int] = OrderedDict()  # releases of calls not known: cause
+        self.open_probes: dict[str, tuple[int, float]] = {}  # probes: office, when sent
+        self.events: deque[interface.Event] = deque()
+        self.handling_events = False
+        self.last_ref = self.last_connection_id = 0
+        self.stopping_since: float | None = None  # when SIGTERM came
         self.finals: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        for frame in platform.known:
-            self.news(now, frame)
-        timers.schedule(now + UPKEEP, self._upkeep)
+        for frame in config.known_events:
+            self.apply_list_event(now, frame)
+        timers.schedule(now + MAINTENANCE_INTERVAL_MS, self._maintain)
 
     # -- clients
 
-    def client_opened(self, now: float) -> int | None:
+    def client_connected(self, now: float) -> int | None:
         """The number of a connection that came in; None where it is to be closed at once."""
-        while self.admission.full(len(self.clients)):
-            goes = self.admission.makes_room(self.clients.values())
+        while self.admission.is_full(len(self.clients)):
+            goes = self.admission.client_to_evict(self.clients.values())
             if goes is None:
                 self.counts["clients turned away"] += 1
                 return None
             self.counts["clients closed for room"] += 1
-            self.port.close(goes.conn, "room for another")
-            self.client_closed(now, goes.conn)
-        self.last_conn += 1
-        self.clients[self.last_conn] = Client(self.last_conn, now, now)
-        return self.last_conn
+            self.transport.close(goes.connection_id, "room for another")
+            self.client_disconnected(now, goes.connection_id)
+        self.last_connection_id += 1
+        self.clients[self.last_connection_id] = Client(self.last_connection_id, now, now)
+        return self.last_connection_id
 
     def client_line(self, now: float, conn: int, line: bytes) -> None:
         client = self.clients.get(conn)
@@ -120,374 +122,396 @@
         try:
             message = jsonl.decode(line)
         except MessageError as error:
-            self.client_broken(now, conn, str(error))
+            self.client_unreadable(now, conn, str(error))
             return
-        client.active = now
+        client.last_active = now
         if self.trace is not None:
-            self._traced("client", conn, message)
+            self._trace_message("client", conn, message)
         if message.kind == jsonl.LAUNCH:
-            self._launch(now, client, message)
+            self._handle_set_up(now, client, message)
         elif message.kind == jsonl.STOP:
-            self._stop(now, client, message)
+            self._handle_caller_stop(now, client, message)
         elif message.kind == jsonl.CHECK:
-            self._spoke(now, client)
-            self._say(conn, Message(jsonl.CHECKED, message.uid, {}, 1))
+            self._mark_valid(now, client)
+            self._send(conn, Message(jsonl.CHECKED, message.uid, {}, 1))
         elif message.kind == jsonl.STOPPED:
-            if message.uid in self.releases.open:
-                self.releases.heard(message.uid)
-                client.trust = c.SERVED
+            if message.uid in self.releases.unconfirmed:
+                self.releases.confirm(message.uid)
+                client.trust = calls.TRUST_SERVED
         elif message.kind == jsonl.STAGING:
             pass
         else:
-            self.client_broken(now, conn, f"{message.kind}: not a message of a caller")
+            self.client_unreadable(now, conn, f"{message.kind}: not a message of a caller")
 
-    def client_broken(self, now: float, conn: int, why: str) -> None:
+    def client_unreadable(self, now: float, conn: int, why: str) -> None:
         """What can't be read on ends its connection: nothing after it would mean anything."""
         self.counts["clients unreadable"] += 1
-        self.port.close(conn, why)
-        self.client_closed(now, conn)
+        self.transport.close(conn, why)
+        self.client_disconnected(now, conn)
 
-    def client_closed(self, now: float, conn: int) -> None:
+    def client_disconnected(self, now: float, conn: int) -> None:
         client = self.clients.pop(conn, None)
         if client is None:
             return
-        for call in list(client.calls.values()):
+        for call in list(client.pending_calls.values()):
             self._caller_left(now, call)
         for uid, release in self.releases.due(now, conn):
             self._send_release(now, uid, release)
-        self._run(now)
+        self._process_events(now)
 
-    def _spoke(self, now: float, client: Client) -> None:
+    def _mark_valid(self, now: float, client: Client) -> None:
         """Something sound came: what no caller could be told yet may go here."""
-        if client.trust == c.STRANGER:
-            client.trust = c.SPOKEN
+        if client.trust == calls.TRUST_UNKNOWN:
+            client.trust = calls.TRUST_VALID_MESSAGE
             for uid, release in self.releases.due(now):
                 self._send_release(now, uid, release)
 
-    def _launch(self, now: float, client: Client, message: Message) -> None:
+    def _handle_set_up(self, now: float, client: Client, message: Message) -> None:
         uid = message.uid
         try:
-            setup = self.reader.read(message)
+            setup = self.set_up_parser.parse(message)
         except MessageError as error:
-            self._turn_away(now, client, uid, str(error))
+            self._reject_set_up(now, client, uid, str(error))
             return
-        if uid in self.pending or uid in self.standing:
-            if setup.at is None:
-                self._turn_away(now, client, uid, "uid: of a call that is open")
+        if uid in self.pending or uid in self.established:
+            if setup.current_office is None:
+                self._reject_set_up(now, client, uid, "uid: of a call that is open")
             return
-        if setup.at is not None:
-            self._stands_already(now, client, uid, setup.at)
+        if setup.current_office is not None:
+            self._restore_established(now, client, uid, setup.current_office)
             return
-        if not self.admission.may_open(client, len(self.pending)):
+        if not self.admission.accepts_set_up(client, len(self.pending)):
             self.counts["over the most open"] += 1
-            self._say(client.conn, Message(jsonl.STOP, uid, {}, causes.CONGESTION))
+            self._send(client.connection_id, Message(jsonl.STOP, uid, {}, causes.CONGESTION))
             return
-        self._spoke(now, client)
+        self._mark_valid(now, client)
         self.last_ref = self.last_ref % 0xFFFFFFFF + 1
-        kind = self.s.classes[setup.cls]
+        kind = self.settings.classes[setup.class_index]
         call = Call(
             self.last_ref,
             uid,
             kind.name,
             str(message.meta["key"]),
             message.body,
-            client.conn,
-            now + setup.left,
+            client.connection_id,
+            now + setup.time_left,
             setup.transit,
         )
-        self.calls[call.ref] = self.pending[uid] = client.calls[uid] = call
-        taken = STOP_TRANSIT if setup.transit else STOP_TAKES
-        if self.stopping is not None and now - self.stopping > taken:
-            self._final(now, call, causes.CONGESTION, {})
+        self.calls_by_ref[call.ref] = self.pending[uid] = client.pending_calls[uid] = call
+        taken = STOP_ACCEPT_TRANSIT_MS if setup.transit else STOP_ACCEPT_MS
+        if self.stopping_since is not None and now - self.stopping_since > taken:
+            self._send_final_stop(now, call, causes.CONGESTION, {})
             return
-        request = i.Request(
+        request = interface.Request(
             call.ref,
-            setup.cls,
-            setup.dest,
-            call.expires,
+            setup.class_index,
+            setup.destination,
+            call.expires_at,
             setup.width,
-            setup.tenant,
+            setup.tenant_index,
             setup.via,
             setup.number,
             0.0,
             False,
             setup.transit,
-            setup.cut,
+            setup.after_cut,
         )
         self.events.append(request)
-        self._run(now)
+        self._process_events(now)
 
-    def _turn_away(self, now: float, client: Client, uid: str, why: str) -> None:
+    def _reject_set_up(self, now: float, client: Client, uid: str, why: str) -> None:
         """A set-up that makes no sense gets its refusal; one under the id of an open call ends that too.
 
         On the connection of the open call a `stop` would be taken for that call's answer, so it is: the two
         can't be told apart, and neither may stand.
         """
         self.counts["set-ups turned away"] += 1
-        call = client.calls.get(uid)
+        call = client.pending_calls.get(uid)
         if call is not None:
             self._caller_left(now, call)
-        self._say(client.conn, Message(jsonl.STOP, uid, {"note": why}, causes.PROTOCOL_ERROR))
-        self._run(now)
+        self._send(client.connection_id, Message(jsonl.STOP, uid, {"note": why}, causes.PROTOCOL_ERROR))
+        self._process_events(now)
 
-    def _stands_already(self, now: float, client: Client, uid: str, office: int) -> None:
-        self._spoke(now, client)
-        cause = self.early.pop(uid, None)
+    def _restore_established(self, now: float, client: Client, uid: str, office: int) -> None:
+        self._mark_valid(now, client)
+        cause = self.early_releases.pop(uid, None)
         if cause is not None:
-            self._release(now, uid, cause, client.conn)
+            self._begin_release(now, uid, cause, client.connection_id)
             return
-        if office not in self.offices.known or len(self.standing) >= MOST_STANDING:
-            self._release(now, uid, RESET, client.conn)  # what stood there is over
+        if office not in self.office_list.by_id or len(self.established) >= MAX_ESTABLISHED:
+            self._begin_release(now, uid, RESET_CAUSE, client.connection_id)  # what stood there is over
             return
-        call = Call(0, uid, "", "", None, client.conn, 0.0, stage=Stage.STANDS, office=office)
-        self._keep(call)
+        call = Call(
+            0, uid, "", "", None, client.connection_id, 0.0, stage=Stage.ESTABLISHED, office_id=office
+        )
+        self._add_established(call)
         self.counts["told to stand"] += 1
 
-    def _stop(self, now: float, client: Client, message: Message) -> None:
-        self._spoke(now, client)
+    def _handle_caller_stop(self, now: float, client: Client, message: Message) -> None:
+        self._mark_valid(now, client)
         call = self.pending.get(message.uid)
         if call is not None:
-            if call.client == client.conn:
+            if call.client_id == client.connection_id:
                 self._caller_left(now, call)
-                self._run(now)
+                self._process_events(now)
             return
-        call = self.standing.get(message.uid)
+        call = self.established.get(message.uid)
         if call is not None:
-            self._ended(now, call, i.Result.CANCELLED)
-            self._tell_office(now, call.office, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING))
-            self._run(now)
-        self._say(client.conn, Message(jsonl.STOPPED, message.uid))
+            self._end_established(now, call, interface.Result.CANCELLED)
+            self._send_to_office(
+                now, call.office_id, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING)
+            )
+            self._process_events(now)
+        self._send(client.connection_id, Message(jsonl.STOPPED, message.uid))
 
     def _caller_left(self, now: float, call: Call) -> None:
         """Nobody waits for this answer any more; an attempt that is out is called off by the module."""
         if call.stage is not Stage.PENDING:
             return
         self.finals["caller left"] += 1
-        self._over(call)
-        self.events.append(i.CallerLeft(call.ref))
-        if call.out is None:
-            self.calls.pop(call.ref, None)
+        self._close_set_up(call)
+        self.events.append(interface.CallerLeft(call.ref))
+        if call.open_attempt is None:
+            self.calls_by_ref.pop(call.ref, None)
 
     # -- final answers and ends
 
-    def _over(self, call: Call) -> None:
-        call.stage, call.body = Stage.OVER, None
+    def _close_set_up(self, call: Call) -> None:
+        call.stage, call.body = Stage.ENDED, None
         self.pending.pop(call.uid, None)
-        client = self.clients.get(call.client)
+        client = self.clients.get(call.client_id)
         if client is not None:
-            client.calls.pop(call.uid, None)
+            client.pending_calls.pop(call.uid, None)
 
-    def _final(self, now: float, call: Call, cause: int, meta: dict[str, jsonl.Value]) -> None:
+    def _send_final_stop(self, now: float, call: Call, cause: int, meta: dict[str, jsonl.Value]) -> None:
         """The one final answer of a call that does not stand."""
-        self._over(call)
-        self.calls.pop(call.ref, None)
-        self.finals["refused" if cause in REFUSALS else "failed"] += 1
-        self._say(call.client, Message(jsonl.STOP, call.uid, meta, cause))
+        self._close_set_up(call)
+        self.calls_by_ref.pop(call.ref, None)
+        self.finals["refused" if cause in REFUSAL_CAUSES else "failed"] += 1
+        self._send(call.client_id, Message(jsonl.STOP, call.uid, meta, cause))
 
-    def _give_up(self, now: float, action: i.Refuse | i.Fail) -> None:
-        call = self.calls.get(action.ref)
+    def _end_unanswered(self, now: float, action: interface.Refuse | interface.Fail) -> None:
+        call = self.calls_by_ref.get(action.ref)
         if call is None or call.stage is not Stage.PENDING:
             return
         meta: dict[str, jsonl.Value] = {}
-        cause = RESET
-        if type(action) is i.Refuse:
-            cause = causes.NO_CIRCUIT if call.cause == causes.NO_CIRCUIT else causes.CONGESTION
+        cause = RESET_CAUSE
+        if type(action) is interface.Refuse:
+            cause = causes.NO_CIRCUIT if call.last_cause == causes.NO_CIRCUIT else causes.CONGESTION
             if action.retry_after >= 1.0:
                 meta["wait"] = str(int(action.retry_after))
-        self._final(now, call, cause, meta)
+        self._send_final_stop(now, call, cause, meta)
 
-    def _keep(self, call: Call) -> None:
-        self.standing[call.uid] = call
-        self.standing_at.setdefault(call.office, {})[call.uid] = call
+    def _add_established(self, call: Call) -> None:
+        self.established[call.uid] = call
+        self.established_by_office.setdefault(call.office_id, {})[call.uid] = call
 
-    def _ended(self, now: float, call: Call, result: i.Result, report: i.Report | None = None) -> None:
+    def _end_established(
+        self, now: float, call: Call, result: interface.Result, report: interface.Report | None = None
+    ) -> None:
         """A call that stood is over; the module is told where it knows of it."""
-        self.standing.pop(call.uid, None)
-        at = self.standing_at.get(call.office)
+        self.established.pop(call.uid, None)
+        at = self.established_by_office.get(call.office_id)
         if at is not None:
             at.pop(call.uid, None)
             if not at:
-                del self.standing_at[call.office]
-        call.stage = Stage.OVER
-        self.finals["ended" if result is i.Result.OK else "cut"] += 1
-        if self.calls.pop(call.ref, None) is not None:
-            took = now - call.since
+                del self.established_by_office[call.office_id]
+        call.stage = Stage.ENDED
+        self.finals["ended" if result is interface.Result.OK else "cut"] += 1
+        if self.calls_by_ref.pop(call.ref, None) is not None:
+            took = now - call.attempt_started_at
             self.events.append(
-                i.Outcome(call.ref, call.attempts - 1, call.office, result, took, True, report=report)
+                interface.Outcome(
+                    call.ref, call.attempt_count - 1, call.office_id, result, took, True, report=report
+                )
             )
 
-    def _release(self, now: float, uid: str, cause: int, conn: int = 0) -> None:
+    def _begin_release(self, now: float, uid: str, cause: int, conn: int = 0) -> None:
         """Tells the callers that a call is over: on its own connection, else where it will be heard."""
         self._send_release(now, uid, self.releases.begin(now, uid, cause), conn)
 
     def _send_release(self, now: float, uid: str, release: Release, conn: int = 0) -> None:
-        client = self.releases.choose(now, release, conn, self.clients)
+        client = self.releases.choose_client(now, release, conn, self.clients)
         if client is not None:
-            self._say(client.conn, Message(jsonl.STOP, uid, {}, release.cause))
+            self._send(client.connection_id, Message(jsonl.STOP, uid, {}, release.cause))
 
-    def _office_lost(self, now: float, office: int, why: str) -> None:
+    def _end_office_calls(self, now: float, office: int, why: str) -> None:
         """What stood there is over: its callers are told, and the module. Old connections are of no use."""
-        for conn in self.pools[office].links if office in self.pools else ():
+        for conn in self.pools[office].connections if office in self.pools else ():
             self.pools[office].retire(conn, now)
-        calls = list(self.standing_at.get(office, {}).values())
+        calls = list(self.established_by_office.get(office, {}).values())
         if calls:
-            self.note("standing calls lost", office=frames.office_name(office), calls=len(calls), reason=why)
+            self.log_event(
+                "standing calls lost", office=frames.office_name(office), calls=len(calls), reason=why
+            )
         for call in calls:
-            self._ended(now, call, i.Result.RESET)
-            self._release(now, call.uid, RESET, call.client)
+            self._end_established(now, call, interface.Result.RESET)
+            self._begin_release(now, call.uid, RESET_CAUSE, call.client_id)
 
     # -- the module
 
-    def _run(self, now: float) -> None:
+    def _process_events(self, now: float) -> None:
         """Tells the module all that happened, in order, and carries out what it decides at once."""
-        if self.busy:
+        if self.handling_events:
             return
-        self.busy = True
+        self.handling_events = True
         try:
             while self.events:
-                for action in self.module.handle(now, self.events.popleft()):
-                    self._act(now, action)
+                for action in self.controller.handle(now, self.events.popleft()):
+                    self._execute(now, action)
         finally:
-            self.busy = False
-
-    def _act(self, now: float, action: i.Action) -> None:
-        if type(action) is i.Send:
-            self._attempt(now, action)
-        elif type(action) is i.Refuse or type(action) is i.Fail:
-            self._give_up(now, action)
-        elif type(action) is i.StartTimer:
-            self.timers.schedule(now + action.delay, self._remind, action.label)
-        elif type(action) is i.Cancel:
-            self._cancel(now, action)
-        elif type(action) is i.NotifyPeers:
-            self._tell(action)
-        elif type(action) is i.Probe:
+            self.handling_events = False
+
+    def _execute(self, now: float, action: interface.Action) -> None:
+        if type(action) is interface.Send:
+            self._start_attempt(now, action)
+        elif type(action) is interface.Refuse or type(action) is interface.Fail:
+            self._end_unanswered(now, action)
+        elif type(action) is interface.StartTimer:
+            self.timers.schedule(now + action.delay, self._timer_due, action.label)
+        elif type(action) is interface.Cancel:
+            self._cancel_attempt(now, action)
+        elif type(action) is interface.NotifyPeers:
+            self._send_to_peer(action)
+        elif type(action) is interface.Probe:
             self._probe(now, action.office)
-        elif type(action) is i.Remark:
-            self.note("remark", text=action.text)
+        elif type(action) is interface.Remark:
+            self.log_event("remark", text=action.text)
         # Follow and Lookup: the feed follows always. Close: the pools give back what is idle.
 
-    def _remind(self, now: float, label: int) -> None:
-        self.events.append(i.TimerExpired(label))
-        self._run(now)
+    def _timer_due(self, now: float, label: int) -> None:
+        self.events.append(interface.TimerExpired(label))
+        self._process_events(now)
 
-    def _tell(self, action: i.NotifyPeers) -> None:
-        to = self.p.peers_all if action.peer is None else None
-        if action.peer is not None and 0 <= action.peer < len(self.p.peers):
-            to = self.p.peers[action.peer]
-        if to is not None and len(action.body) <= MOST_DATAGRAM:
+    def _send_to_peer(self, action: interface.NotifyPeers) -> None:
+        to = self.config.peers_all if action.peer is None else None
+        if action.peer is not None and 0 <= action.peer < len(self.config.peers):
+            to = self.config.peers[action.peer]
+        if to is not None and len(action.body) <= MAX_DATAGRAM_BYTES:
             self.counts["datagrams out"] += 1
-            self.port.datagram(to, action.body)
+            self.transport.send_datagram(to, action.body)
 
-    def datagram(self, now: float, source: Address, body: bytes) -> None:
-        sender = self.peers.get(source)
-        if sender is None or not body or len(body) > MOST_DATAGRAM:
+    def datagram_received(self, now: float, source: Address, body: bytes) -> None:
+        sender = self.peer_numbers.get(source)
+        if sender is None or not body or len(body) > MAX_DATAGRAM_BYTES:
             self.counts["datagrams dropped"] += 1
             return
-        self.events.append(i.PeerMessage(sender, body))
-        self._run(now)
+        self.events.append(interface.PeerMessage(sender, body))
+        self._process_events(now)
 
     # -- attempts
 
-    def _attempt(self, now: float, action: i.Send) -> None:
-        call = self.calls.get(action.ref)
-        if call is None or call.stage is not Stage.PENDING or call.out is not None:
-            self.note("attempt for no call", ref=action.ref)
+    def _start_attempt(self, now: float, action: interface.Send) -> None:
+        call = self.calls_by_ref.get(action.ref)
+        if call is None or call.stage is not Stage.PENDING or call.open_attempt is not None:
+            self.log_event("attempt for no call", ref=action.ref)
             return
-        ends = min(now + max(1.0, action.timeout), call.expires)
-        attempt = Attempt(call, call.attempts, action.office, now, ends)
-        call.attempts += 1
-        call.out = attempt
+        ends = min(now + max(1.0, action.timeout), call.expires_at)
+        attempt = Attempt(call, call.attempt_count, action.office, now, ends)
+        call.attempt_count += 1
+        call.open_attempt = attempt
         pool = self.pools.get(action.office)
-        if pool is None or self.offices.barred(now, action.office, self.s.rules.drain_grace):
-            self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
+        if pool is None or self.office_list.is_barred(now, action.office, self.settings.rules.drain_grace):
+            self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
             return
-        attempt.timer = self.timers.schedule(ends, self._timeout, attempt)
+        attempt.timer = self.timers.schedule(ends, self._attempt_timed_out, attempt)
         pool.waiting.append(attempt)
-        self._serve(now, pool)
+        self._serve_waiting(now, pool)
 
-    def _write(self, now: float, pool: Pool, link: Link, attempt: Attempt) -> None:
+    def _send_attempt(
+        self, now: float, pool: ConnectionPool, link: OfficeConnection, attempt: Attempt
+    ) -> None:
         call = attempt.call
-        if self.offices.barred(now, attempt.office, self.s.rules.drain_grace):
-            self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
+        if self.office_list.is_barred(now, attempt.office_id, self.settings.rules.drain_grace):
+            self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
             return
-        attempt.link = link.conn
+        attempt.connection_id = link.id
         link.attempts[call.uid] = attempt
-        left = max(1, int(attempt.ends - now))
-        meta: dict[str, jsonl.Value] = {"class": call.name, "key": call.key, "left": str(left)}
-        self._say(link.conn, Message(jsonl.LAUNCH, call.uid, meta, body=call.body))
+        left = max(1, int(attempt.deadline - now))
+        meta: dict[str, jsonl.Value] = {"class": call.class_name, "key": call.key, "left": str(left)}
+        self._send(link.id, Message(jsonl.LAUNCH, call.uid, meta, body=call.body))
 
-    def _timeout(self, now: float, attempt: Attempt) -> None:
+    def _attempt_timed_out(self, now: float, attempt: Attempt) -> None:
         """No answer in time: it is given up at the office before the module hears of it."""
-        if attempt.call.out is not attempt:
+        if attempt.call.open_attempt is not attempt:
             return
-        if not attempt.link:  # it never left
-            self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
+        if not attempt.connection_id:  # it never left
+            self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
         else:
-            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING))
-            self.pools[attempt.office].retire(attempt.link, now)
-            self._attempt_over(now, attempt, i.Result.TIMEOUT)
-        self._run(now)
-
-    def _cancel(self, now: float, action: i.Cancel) -> None:
-        call = self.calls.get(action.ref)
-        attempt = call.out if call is not None else None
+            self._send(
+                attempt.connection_id, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING)
+            )
+            self.pools[attempt.office_id].retire(attempt.connection_id, now)
+            self._end_attempt(now, attempt, interface.Result.TIMEOUT)
+        self._process_events(now)
+
+    def _cancel_attempt(self, now: float, action: interface.Cancel) -> None:
+        call = self.calls_by_ref.get(action.ref)
+        attempt = call.open_attempt if call is not None else None
         if attempt is None or attempt.number != action.attempt:
             return
-        if not attempt.link:
-            self._attempt_over(now, attempt, i.Result.MOOT)
+        if not attempt.connection_id:
+            self._end_attempt(now, attempt, interface.Result.MOOT)
         else:
-            self._say(attempt.link, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING))
-            self._attempt_over(now, attempt, i.Result.CANCELLED)
+            self._send(
+                attempt.connection_id, Message(jsonl.STOP, attempt.call.uid, {}, causes.NORMAL_CLEARING)
+            )
+            self._end_attempt(now, attempt, interface.Result.CANCELLED)
 
-    def _attempt_over(
+    def _end_attempt(
         self,
         now: float,
         attempt: Attempt,
-        result: i.Result,
-        note: i.Note = i.Note.NONE,
+        result: interface.Result,
+        note: interface.Note = interface.Note.NONE,
         wait: float = 0.0,
-        report: i.Report | None = None,
+        report: interface.Report | None = None,
     ) -> None:
         call = attempt.call
-        self._detach(now, attempt)
-        call.out = None
-        ended = call.stage is Stage.OVER
+        self._detach_attempt(now, attempt)
+        call.open_attempt = None
+        ended = call.stage is Stage.ENDED
         if ended:
-            self.calls.pop(call.ref, None)
-        took = now - attempt.began
-        if report is None and note is not i.Note.NO_CIRCUIT:
+            self.calls_by_ref.pop(call.ref, None)
+        took = now - attempt.started_at
+        if report is None and note is not interface.Note.NO_CIRCUIT:
             # The module counts a circuit off at each send; one that was not taken brings no news of it.
-            pool = self.pools.get(attempt.office)
-            report = self._report({"load": pool.load}) if pool is not None and pool.load else None
+            pool = self.pools.get(attempt.office_id)
+            report = (
+                self._parse_load({"load": pool.last_load}) if pool is not None and pool.last_load else None
+            )
         self.counts[f"attempts {result.name.lower()}"] += 1
         self.events.append(
-            i.Outcome(call.ref, attempt.number, attempt.office, result, took, ended, note, wait, report)
+            interface.Outcome(
+                call.ref, attempt.number, attempt.office_id, result, took, ended, note, wait, report
+            )
         )
 
-    def _detach(self, now: float, attempt: Attempt) -> None:
+    def _detach_attempt(self, now: float, attempt: Attempt) -> None:
         """Takes an attempt off its connection, which may carry the next."""
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
-        pool = self.pools.get(attempt.office)
+        pool = self.pools.get(attempt.office_id)
         if pool is None:
             return
-        if not attempt.link:
+        if not attempt.connection_id:
             if attempt in pool.waiting:
                 pool.waiting.remove(attempt)
             return
-        link = pool.links.get(attempt.link)
+        link = pool.connections.get(attempt.connection_id)
         if link is not None and link.attempts.pop(attempt.call.uid, None) is not None:
             link.idle_since = now
-            self._serve(now, pool)
+            self._serve_waiting(now, pool)
 
-    def _serve(self, now: float, pool: Pool) -> None:
+    def _serve_waiting(self, now: float, pool: ConnectionPool) -> None:
         """Set-ups that wait for a connection get one, in their order, or have one opened."""
         while pool.waiting:
-            link, opens = pool.take(len(self.linked) < self.admission.office_links)
+            link, opens = pool.choose_connection(
+                len(self.pool_by_connection) < self.admission.max_office_connections
+            )
             if link is not None:
-                self._write(now, pool, link, pool.waiting.popleft())
+                self._send_attempt(now, pool, link, pool.waiting.popleft())
             elif opens:
                 self._dial(now, pool)
             else:
@@ -495,84 +519,88 @@
 
     # -- offices
 
-    def _dial(self, now: float, pool: Pool) -> None:
-        office = self.offices.known.get(pool.office)
+    def _dial(self, now: float, pool: ConnectionPool) -> None:
+        office = self.office_list.by_id.get(pool.office_id)
         if office is None:
             return
-        self.last_conn += 1
-        conn = self.last_conn
+        self.last_connection_id += 1
+        conn = self.last_connection_id
         pool.dialling.add(conn)
-        pool.dialled(now)
-        self.linked[conn] = pool
-        self.port.dial(conn, office.address)
+        pool.dial_started(now)
+        self.pool_by_connection[conn] = pool
+        self.transport.dial(conn, office.address)
 
-    def link_opened(self, now: float, conn: int) -> None:
-        pool = self.linked.get(conn)
+    def office_connected(self, now: float, conn: int) -> None:
+        pool = self.pool_by_connection.get(conn)
         if pool is None:
-            self.port.close(conn, "its office is gone")
+            self.transport.close(conn, "its office is gone")
             return
-        pool.opened(now, conn)
-        self._serve(now, pool)
-        self._run(now)
+        pool.dial_succeeded(now, conn)
+        self._serve_waiting(now, pool)
+        self._process_events(now)
 
-    def link_failed(self, now: float, conn: int, refused: bool) -> None:
+    def office_dial_failed(self, now: float, conn: int, refused: bool) -> None:
         """A connection could not be had: nothing that waited for it ran."""
-        pool = self.linked.pop(conn, None)
+        pool = self.pool_by_connection.pop(conn, None)
         if pool is None:
             return
         if not pool.failures:
-            self.note(
+            self.log_event(
                 "office not reached",
-                office=frames.office_name(pool.office),
+                office=frames.office_name(pool.office_id),
                 refused=refused,
-                open=len(pool.links),
-                standing=len(self.standing_at.get(pool.office, ())),
+                open=len(pool.connections),
+                standing=len(self.established_by_office.get(pool.office_id, ())),
             )
-        pool.failed(now, conn, refused)
+        pool.dial_failed(now, conn, refused)
         self.counts["connects failed"] += 1
         while len(pool.waiting) > len(pool.dialling):
-            self._attempt_over(now, pool.waiting[0], i.Result.CONNECT_FAILED)
-        self._judge(now, pool)
-        self._run(now)
-
-    def _judge(self, now: float, pool: Pool) -> None:
-        if pool.office in self.standing_at and pool.dead(now):
-            self._office_lost(now, pool.office, "refuses connections" if pool.refused else "silent")
+            self._end_attempt(now, pool.waiting[0], interface.Result.CONNECT_FAILED)
+        self._check_office_lost(now, pool)
+        self._process_events(now)
+
+    def _check_office_lost(self, now: float, pool: ConnectionPool) -> None:
+        if pool.office_id in self.established_by_office and pool.is_lost(now):
+            self._end_office_calls(
+                now, pool.office_id, "refuses connections" if pool.dial_refused else "silent"
+            )
 
-    def link_line(self, now: float, conn: int, line: bytes) -> None:
-        pool = self.linked.get(conn)
-        link = pool.links.get(conn) if pool is not None else None
+    def office_line(self, now: float, conn: int, line: bytes) -> None:
+        pool = self.pool_by_connection.get(conn)
+        link = pool.connections.get(conn) if pool is not None else None
         if pool is None or link is None:
             return
-        pool.heard = now
+        pool.last_received = now
         try:
-            self._office_says(now, pool, link, jsonl.decode(line))
+            self._handle_office_message(now, pool, link, jsonl.decode(line))
         except MessageError as error:
             self.counts["offices unreadable"] += 1
-            self.note("office unreadable", office=frames.office_name(pool.office), reason=str(error))
-            self.link_lost(now, conn)
-            self.port.close(conn, str(error))
-        self._run(now)
+            self.log_event("office unreadable", office=frames.office_name(pool.office_id), reason=str(error))
+            self.office_disconnected(now, conn)
+            self.transport.close(conn, str(error))
+        self._process_events(now)
 
-    def link_lost(self, now: float, conn: int) -> None:
+    def office_disconnected(self, now: float, conn: int) -> None:
         """A connection broke, or can't be read on: what was open on it ends as reset."""
-        pool = self.linked.pop(conn, None)
+        pool = self.pool_by_connection.pop(conn, None)
         if pool is None:
             return
-        link = pool.links.pop(conn, None)
+        link = pool.connections.pop(conn, None)
         pool.dialling.discard(conn)
         for attempt in list(link.attempts.values()) if link is not None else ():
-            self._attempt_over(now, attempt, i.Result.RESET)
-        self._run(now)
+            self._end_attempt(now, attempt, interface.Result.RESET)
+        self._process_events(now)
 
-    def _office_says(self, now: float, pool: Pool, link: Link, message: Message) -> None:
+    def _handle_office_message(
+        self, now: float, pool: ConnectionPool, link: OfficeConnection, message: Message
+    ) -> None:
         kind, uid = message.kind, message.uid
         if self.trace is not None:
-            self._traced(frames.office_name(pool.office), link.conn, message)
+            self._trace_message(frames.office_name(pool.office_id), link.id, message)
         if kind == jsonl.USAGE:
-            report = self._report(message.meta)
-            if report is not None and pool.news(now, link, str(message.meta["load"])):
-                self.events.append(i.Probed(pool.office, i.Result.OK, 0.0, report))
+            report = self._parse_load(message.meta)
+            if report is not None and pool.update_load(now, link, str(message.meta["load"])):
+                self.events.append(interface.Probed(pool.office_id, interface.Result.OK, 0.0, report))
         elif kind == jsonl.RUNNING:
             attempt = link.attempts.get(uid)
             if attempt is None:
@@ -580,222 +608,248 @@
                 return
             if not message.body:
                 raise MessageError("body: a description was expected")
-            self._answered(now, attempt, message)
+            self._attempt_answered(now, attempt, message)
         elif kind == jsonl.STOP:
-            self._office_stops(now, pool, link, message)
+            self._handle_office_stop(now, pool, link, message)
         elif kind == jsonl.CHECKED:
-            office, sent = self.checks.pop(uid, (0, 0.0))
-            if office == pool.office:
-                result = i.Result.OK if message.reason == 1 else i.Result.ERROR
-                self.events.append(i.Probed(office, result, now - sent, self._report(message.meta)))
+            office, sent = self.open_probes.pop(uid, (0, 0.0))
+            if office == pool.office_id:
+                result = interface.Result.OK if message.reason == 1 else interface.Result.ERROR
+                self.events.append(
+                    interface.Probed(office, result, now - sent, self._parse_load(message.meta))
+                )
         elif kind == jsonl.CHECK:
-            self._say(link.conn, Message(jsonl.CHECKED, uid, {}, 1))
+            self._send(link.id, Message(jsonl.CHECKED, uid, {}, 1))
         elif kind == jsonl.LAUNCH:
             raise MessageError("a set-up from an office")
 
-    def _answered(self, now: float, attempt: Attempt, message: Message) -> None:
+    def _attempt_answered(self, now: float, attempt: Attempt, message: Message) -> None:
         call = attempt.call
-        if now > call.expires + self.s.rules.grace_to_answer + SLACK:
-            self._timeout(now, attempt)
-            return
-        self._detach(now, attempt)
-        call.out, call.office, call.since = None, attempt.office, attempt.began
-        self._over(call)
-        call.stage = Stage.STANDS
-        self._keep(call)
+        if now > call.expires_at + self.settings.rules.grace_to_answer + ANSWER_SLACK_MS:
+            self._attempt_timed_out(now, attempt)
+            return
+        self._detach_attempt(now, attempt)
+        call.open_attempt, call.office_id, call.attempt_started_at = (
+            None,
+            attempt.office_id,
+            attempt.started_at,
+        )
+        self._close_set_up(call)
+        call.stage = Stage.ESTABLISHED
+        self._add_established(call)
         self.finals["stands"] += 1
-        client = self.clients.get(call.client)
+        client = self.clients.get(call.client_id)
         if client is not None:
-            client.trust = c.SERVED
-        self._say(call.client, Message(jsonl.RUNNING, call.uid, {}, body=message.body))
-        self.events.append(i.Established(call.ref, attempt.number, attempt.office, now - attempt.began))
+            client.trust = calls.TRUST_SERVED
+        self._send(call.client_id, Message(jsonl.RUNNING, call.uid, {}, body=message.body))
+        self.events.append(
+            interface.Established(call.ref, attempt.number, attempt.office_id, now - attempt.started_at)
+        )
 
-    def _office_stops(self, now: float, pool: Pool, link: Link, message: Message) -> None:
+    def _handle_office_stop(
+        self, now: float, pool: ConnectionPool, link: OfficeConnection, message: Message
+    ) -> None:
         uid, cause = message.uid, message.reason
-        report = self._report(message.meta)
+        report = self._parse_load(message.meta)
         attempt = link.attempts.get(uid)
         if attempt is not None:
-            result, note, wait = self._meaning(message)
-            attempt.call.cause = cause
-            self._attempt_over(now, attempt, result, note, wait, report)
-            return
-        self._say(link.conn, Message(jsonl.STOPPED, uid))
-        call = self.standing.get(uid)
-        if call is not None and call.office == pool.office:
-            self._ended(now, call, i.Result.OK if cause == causes.NORMAL_CLEARING else i.Result.RESET, report)
-            self._release(now, uid, cause, call.client)
+            result, note, wait = self._interpret_stop(message)
+            attempt.call.last_cause = cause
+            self._end_attempt(now, attempt, result, note, wait, report)
+            return
+        self._send(link.id, Message(jsonl.STOPPED, uid))
+        call = self.established.get(uid)
+        if call is not None and call.office_id == pool.office_id:
+            self._end_established(
+                now,
+                call,
+                interface.Result.OK if cause == causes.NORMAL_CLEARING else interface.Result.RESET,
+                report,
+            )
+            self._begin_release(now, uid, cause, call.client_id)
         elif call is None and uid not in self.pending:
             # Perhaps a call that stood before this process started, and that its caller has not named yet.
-            self.early[uid] = cause
-            if len(self.early) > EARLY_KEPT:
-                self.early.popitem(last=False)
+            self.early_releases[uid] = cause
+            if len(self.early_releases) > MAX_EARLY_RELEASES:
+                self.early_releases.popitem(last=False)
 
-    def _meaning(self, message: Message) -> tuple[i.Result, i.Note, float]:
+    def _interpret_stop(self, message: Message) -> tuple[interface.Result, interface.Note, float]:
         """What an office's release before the answer says."""
         cause, meta = message.reason, message.meta
-        note = NOTES.get(str(meta.get("note", "")), i.Note.NONE)
+        note = NOTE_BY_WORD.get(str(meta.get("note", "")), interface.Note.NONE)
         wait = max(0.0, jsonl.parse_number(meta["waited"], "waited")) if "waited" in meta else 0.0
         if meta.get("note") == "end_queue_long":
-            wait = max(wait, BEYOND_FULL)
+            wait = max(wait, REMOTE_BUSY_WAIT_MS)
         if cause == causes.NO_CIRCUIT:
-            return i.Result.FULL, note, wait
+            return interface.Result.FULL, note, wait
         if cause in (causes.USER_BUSY, causes.RESOURCE_UNAVAILABLE):
-            return i.Result.ERROR, note, wait
-        if cause == MOOT:
-            return i.Result.MOOT, note, wait
-        return i.Result.RESET, note, wait
+            return interface.Result.ERROR, note, wait
+        if cause == MOOT_CAUSE:
+            return interface.Result.MOOT, note, wait
+        return interface.Result.RESET, note, wait
 
-    def _report(self, meta: dict[str, jsonl.Value]) -> i.Report | None:
+    def _parse_load(self, meta: dict[str, jsonl.Value]) -> interface.Report | None:
         """The state of a group where a message has one; what is not told stays not told."""
         told = jsonl.parse_extras(meta.get("load"))
         if not told:
             return None
         values = tuple(
-            jsonl.parse_number(told[column], column) if column in told else -1.0 for column in self.p.columns
+            jsonl.parse_number(told[column], column) if column in told else -1.0
+            for column in self.config.report_columns
         )
-        return read_report(self.p.columns, values)
+        return read_report(self.config.report_columns, values)
 
     def _probe(self, now: float, office: int) -> None:
         pool = self.pools.get(office)
-        link = pool.any() if pool is not None else None
+        link = pool.any_connection() if pool is not None else None
         if link is None:
-            self.events.append(i.Probed(office, i.Result.CONNECT_FAILED))
+            self.events.append(interface.Probed(office, interface.Result.CONNECT_FAILED))
             return
         uid = f"{self.random.getrandbits(64):016x}"
-        self.checks[uid] = (office, now)
-        self.timers.schedule(now + self.s.limits.dial_timeout, self._unchecked, uid)
-        self._say(link.conn, Message(jsonl.CHECK, uid))
+        self.open_probes[uid] = (office, now)
+        self.timers.schedule(now + self.settings.limits.dial_timeout, self._probe_timed_out, uid)
+        self._send(link.id, Message(jsonl.CHECK, uid))
 
-    def _unchecked(self, now: float, uid: str) -> None:
-        office, sent = self.checks.pop(uid, (0, 0.0))
+    def _probe_timed_out(self, now: float, uid: str) -> None:
+        office, sent = self.open_probes.pop(uid, (0, 0.0))
         if office:
-            self.events.append(i.Probed(office, i.Result.TIMEOUT, now - sent))
-            self._run(now)
+            self.events.append(interface.Probed(office, interface.Result.TIMEOUT, now - sent))
+            self._process_events(now)
 
-    def _tell_office(self, now: float, office: int, message: Message) -> None:
+    def _send_to_office(self, now: float, office: int, message: Message) -> None:
         pool = self.pools.get(office)
-        link = pool.any() if pool is not None else None
+        link = pool.any_connection() if pool is not None else None
         if link is not None:
-            self._say(link.conn, message)
+            self._send(link.id, message)
 
     # -- the list
 
-    def news(self, now: float, frame: frames.Frame) -> None:
+    def apply_list_event(self, now: float, frame: frames.Frame) -> None:
         """One event of the journal service; FrameError where it can't be meant."""
-        starts = {office.id: office.started for office in self.offices.known.values()}
-        members = self.offices.news(now, frame)
+        starts = {office.id: office.started_at for office in self.office_list.by_id.values()}
+        members = self.office_list.apply(now, frame)
         if members is None:
             return
-        for office in list(self.offices.known.values()):
-            if office.started != starts.get(office.id, office.started):
-                self._office_lost(now, office.id, "started again")
-            if office.readiness is i.Readiness.GONE:
-                self._gone(now, office.id)
-            elif office.cell != self.s.own_exchange and office.id not in self.pools:
-                self.pools[office.id] = Pool(office.id, now, self.random)
+        for office in list(self.office_list.by_id.values()):
+            if office.started_at != starts.get(office.id, office.started_at):
+                self._end_office_calls(now, office.id, "started again")
+            if office.readiness is interface.Readiness.GONE:
+                self._remove_office(now, office.id)
+            elif office.cell != self.settings.own_exchange and office.id not in self.pools:
+                self.pools[office.id] = ConnectionPool(office.id, now, self.random)
                 self._dial(now, self.pools[office.id])
-        self.note("list", number=frame.number, kind=frame.kind, entries=len(members.entries))
+        self.log_event("list", number=frame.number, kind=frame.kind, entries=len(members.entries))
         self.events.append(members)
-        self._run(now)
+        self._process_events(now)
 
-    def _gone(self, now: float, office: int) -> None:
+    def _remove_office(self, now: float, office: int) -> None:
         """An office left the list: another may come at its address, so its connections end."""
         pool = self.pools.get(office)
         if pool is None:
-            self.offices.forget(office)
+            self.office_list.forget(office)
             return
-        if office in self.standing_at or any(link.attempts for link in pool.links.values()):
+        if office in self.established_by_office or any(link.attempts for link in pool.connections.values()):
             return  # looked at again by the upkeep
         del self.pools[office]
-        self.offices.forget(office)
+        self.office_list.forget(office)
         for attempt in list(pool.waiting):
-            self._attempt_over(now, attempt, i.Result.CONNECT_FAILED)
-        for conn in [*pool.links, *pool.dialling]:
-            self.linked.pop(conn, None)
-            self.port.close(conn, "its office is gone")
+            self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
+        for conn in [*pool.connections, *pool.dialling]:
+            self.pool_by_connection.pop(conn, None)
+            self.transport.close(conn, "its office is gone")
 
     # -- time
 
-    def _upkeep(self, now: float) -> None:
+    def _maintain(self, now: float) -> None:
         """Opens spare connections, gives idle ones back, closes silent clients, notices dead offices."""
-        self.timers.schedule(now + UPKEEP, self._upkeep)
-        taken = {o.address for o in self.offices.known.values() if o.readiness is not i.Readiness.GONE}
+        self.timers.schedule(now + MAINTENANCE_INTERVAL_MS, self._maintain)
+        taken = {
+            o.address for o in self.office_list.by_id.values() if o.readiness is not interface.Readiness.GONE
+        }
         for pool in list(self.pools.values()):
-            office = self.offices.known[pool.office]
-            gone = office.readiness is i.Readiness.GONE
+            office = self.office_list.by_id[pool.office_id]
+            gone = office.readiness is interface.Readiness.GONE
             if gone:
                 if office.address in taken:
-                    self._office_lost(now, pool.office, "another has its address")
-                self._gone(now, pool.office)
-                if pool.office not in self.pools:
+                    self._end_office_calls(now, pool.office_id, "another has its address")
+                self._remove_office(now, pool.office_id)
+                if pool.office_id not in self.pools:
                     continue
-            standing = pool.office in self.standing_at and not (gone and office.address in taken)
-            ready = office.readiness is i.Readiness.READY
-            if pool.wanted(now, len(self.linked) < self.admission.office_links, ready, standing):
+            standing = pool.office_id in self.established_by_office and not (gone and office.address in taken)
+            ready = office.readiness is interface.Readiness.READY
+            if pool.needs_connection(
+                now, len(self.pool_by_connection) < self.admission.max_office_connections, ready, standing
+            ):
                 self._dial(now, pool)
-            self._judge(now, pool)
-            for conn in pool.surplus(now):
-                self.link_lost(now, conn)
-                self.port.close(conn, "idle")
-            self._serve(now, pool)
-        for client in self.admission.mute(now, self.clients.values()):
+            self._check_office_lost(now, pool)
+            for conn in pool.surplus_connections(now):
+                self.office_disconnected(now, conn)
+                self.transport.close(conn, "idle")
+            self._serve_waiting(now, pool)
+        for client in self.admission.silent_clients(now, self.clients.values()):
             self.counts["clients mute"] += 1
-            self.port.close(client.conn, "nothing said in time")
-            self.client_closed(now, client.conn)
+            self.transport.close(client.connection_id, "nothing said in time")
+            self.client_disconnected(now, client.connection_id)
         for uid, release in self.releases.due(now):
             self._send_release(now, uid, release)
-        self._run(now)
+        self._process_events(now)
 
     def stop(self, now: float) -> None:
         """SIGTERM: calls are served as usual for a while, later ones refused, all pending ones answered."""
-        if self.stopping is None:
-            self.stopping = now
-            self.note("stopping", pending=len(self.pending), standing=len(self.standing))
-            self.timers.schedule(now + STOP_ENDS, self._last_answers)
+        if self.stopping_since is None:
+            self.stopping_since = now
+            self.log_event("stopping", pending=len(self.pending), standing=len(self.established))
+            self.timers.schedule(now + STOP_FINAL_MS, self._refuse_pending)
 
-    def _last_answers(self, now: float) -> None:
+    def _refuse_pending(self, now: float) -> None:
         for call in list(self.pending.values()):
-            if call.out is not None and call.out.link:
-                self._say(call.out.link, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING))
-                self._detach(now, call.out)
-                call.out = None
-            self._final(now, call, causes.CONGESTION, {})
-            self.events.append(i.CallerLeft(call.ref))
-        self._run(now)
-
-    def stopped(self, now: float) -> bool:
+            if call.open_attempt is not None and call.open_attempt.connection_id:
+                self._send(
+                    call.open_attempt.connection_id, Message(jsonl.STOP, call.uid, {}, causes.NORMAL_CLEARING)
+                )
+                self._detach_attempt(now, call.open_attempt)
+                call.open_attempt = None
+            self._send_final_stop(now, call, causes.CONGESTION, {})
+            self.events.append(interface.CallerLeft(call.ref))
+        self._process_events(now)
+
+    def is_stopped(self, now: float) -> bool:
         """Whether it may end: not before the last moment, as releases go on being passed."""
-        return self.stopping is not None and now - self.stopping >= STOP_ENDS and not self.pending
+        return (
+            self.stopping_since is not None
+            and now - self.stopping_since >= STOP_FINAL_MS
+            and not self.pending
+        )
 
-    def beliefs(self, now: float) -> dict[str, dict[str, Any]]:
+    def office_figures(self, now: float) -> dict[str, dict[str, Any]]:
         """By office, what the module believes beside what passed: free circuits and unanswered set-ups."""
         found = {}
         for office, pool in self.pools.items():
-            known = self.module.offices.get(office)
-            out = sum(len(link.attempts) for link in pool.links.values()) + len(pool.waiting)
+            known = self.controller.offices.get(office)
+            out = sum(len(link.attempts) for link in pool.connections.values()) + len(pool.waiting)
             found[frames.office_name(office)] = {
                 "state": known.state.name if known else "GONE",
                 "cell": known.cell if known else -1,
                 "free": known.free if known else None,
-                "told": pool.load,
+                "told": pool.last_load,
                 "window": round(known.window, 2) if known else None,
                 "pending": len(known.pending) if known else 0,
                 "out": out,
-                "standing": len(self.standing_at.get(office, ())),
-                "links": len(pool.links),
-                "heard": round(now - pool.heard),
+                "standing": len(self.established_by_office.get(office, ())),
+                "links": len(pool.connections),
+                "heard": round(now - pool.last_received),
                 "failures": pool.failures,
             }
         return found
 
     # -- out
 
-    def _say(self, conn: int, message: Message) -> None:
+    def _send(self, conn: int, message: Message) -> None:
         if self.trace is not None:
-            self._traced("to", conn, message)
-        self.port.send(conn, jsonl.encode(message))
+            self._trace_message("to", conn, message)
+        self.transport.send(conn, jsonl.encode(message))
 
-    def _traced(self, source: str, conn: int, message: Message) -> None:
+    def _trace_message(self, source: str, conn: int, message: Message) -> None:
         if self.trace is not None and message.kind != jsonl.USAGE:
             self.trace(
                 source,
@@ -806,6 +860,6 @@
                 **{f"f_{name}": value for name, value in message.meta.items()},
             )
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         if self.log is not None:
             self.log(event, **fields)
--- a/ospreybridge/daemon/daemon.py
+++ b/ospreybridge/daemon/daemon.py
@@ -25,24 +25,24 @@
     "out_buffer",
     "answer_margin",
 )
-COLLECT = (50_000, 20, 1_000)  # allocations, young and middle collections before the next kind
-RELEASE_SHARE = 0.6  # of the time to stop: until then pending calls may still be answered in the usual way
+GC_THRESHOLDS = (50_000, 20, 1_000)  # allocations, young and middle collections before the next kind
+PENDING_SHARE = 0.6  # of the time to stop: until then pending calls may still be answered in the usual way
 
 
 class Daemon:
     def __init__(
-        self, settings: ServerSettings, log: Log, calls: bool = False, record: Recorder | None = None
+        self, settings: ServerSettings, log: Log, log_calls: bool = False, recorder: Recorder | None = None
     ) -> None:
-        self.s, self.log = settings, log
+        self.settings, self.log = settings, log
         self.loop = EventLoop()
         self.loop.on_task_error = lambda name, error: log(
             "task failed", task=name, error=repr(error), exc_info=error
         )
-        self.core = CallServer(settings, self.loop.timers, log if calls else self._quiet)
-        self.front = M3uaFront(self.loop, settings, self.core, log, record)
+        self.core = CallServer(settings, self.loop.timers, log if log_calls else self._log_without_calls)
+        self.front = M3uaFront(self.loop, settings, self.core, log, recorder)
         self.exit_code = 0
 
-    def _quiet(self, event: str, **given: object) -> None:
+    def _log_without_calls(self, event: str, **given: object) -> None:
         """Without call logs, what concerns no single call is still told."""
         if "ref" not in given:
             self.log(event, **given)
@@ -52,16 +52,16 @@
         self.loop.on_signals(
             {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload}
         )
-        at = {"plain": (self.s.listen, self.front.port)}
-        if self.s.tls is not None:
-            at["tls"] = (self.s.tls.listen, self.front.tls_port)
+        at = {"plain": (self.settings.listen, self.front.port)}
+        if self.settings.tls is not None:
+            at["tls"] = (self.settings.tls.listen, self.front.tls_port)
         listens = {name: f"{address[0]}:{port}" for name, (address, port) in at.items() if address}
-        self.log("serving", exchange=self.s.name, listen=listens or "nowhere")
+        self.log("serving", exchange=self.settings.name, listen=listens or "nowhere")
         # What stands for long is not walked through again and again: the call path makes no cycles, and a
         # full collection over tens of thousands of standing calls would hold every set-up for that long.
         gc.collect()
         gc.freeze()
-        gc.set_threshold(*COLLECT)
+        gc.set_threshold(*GC_THRESHOLDS)
         self.loop.run()
         counts = dict(self.core.counts + self.front.counts)
         self.log("stopped", finals=dict(self.core.finals), counts=counts, code=self.exit_code)
@@ -71,12 +71,12 @@
         if not self.core.stopping:
             self.front.stop_listening()
             self.core.stop(self.loop.now)
-            self.loop.spawn(self._stopping())
+            self.loop.spawn(self._drain())
 
-    def _stopping(self) -> Task:
+    def _drain(self) -> Task:
         """Pending calls are answered, then what stands is released, then the associations are left."""
-        begun, within = self.loop.now, self.s.stop_within
-        while self.core.pending_count() and self.loop.now - begun < RELEASE_SHARE * within:
+        begun, within = self.loop.now, self.settings.stop_within
+        while self.core.pending_count() and self.loop.now - begun < PENDING_SHARE * within:
             yield "sleep", 10.0
         self.core.release_all(self.loop.now)
         while not self.core.all_released() and self.loop.now - begun < 0.95 * within:
@@ -91,15 +91,17 @@
         if self.front.credentials is not None:
             self.front.check_credentials(self.front.credentials, force=True)
         try:
-            new = load(Path(self.s.path))
+            new = load(Path(self.settings.path))
         except SettingsError as error:
             self.log("reload refused", faults=error.errors)
             return
-        changed = [f.name for f in fields(ServerSettings) if getattr(new, f.name) != getattr(self.s, f.name)]
+        changed = [
+            f.name for f in fields(ServerSettings) if getattr(new, f.name) != getattr(self.settings, f.name)
+        ]
         fixed = [name for name in changed if name not in RELOADABLE]
         if fixed:
             self.log("reload refused", faults=[f"{name} can't change without a restart" for name in fixed])
             return
-        self.s = self.core.settings = self.front.settings = new
+        self.settings = self.core.settings = self.front.settings = new
         self.core.timer_settings = new.timers
         self.log("reloaded", changed=changed)
--- a/ospreybridge/settings/platform.py
+++ b/ospreybridge/settings/platform.py
@@ -8,20 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 from ospreybridge.policy import check_settings
 from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.instance import SettingPairs, read_settings
 from ospreybridge.signalling import frames
 
 Address = tuple[str, int]
-STATES = {"up": frames.READY, "draining": frames.DRAINING, "removed": frames.REMOVED}
-THOUSANDTHS = 1_000.0
-NOWHERE: Address = ("0.0.0.0", 0)
+STATE_BY_PHASE = {"up": frames.READY, "draining": frames.DRAINING, "removed": frames.REMOVED}
+WEIGHT_SCALE = 1_000.0
+NO_ADDRESS: Address = ("0.0.0.0", 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformConfig:
     """What one call server is told at its start. Times are milliseconds, memory is MB."""
 
     path: str
@@ -35,34 +35,34 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     journal: Address
-    known: tuple[frames.Frame, ...]
-    settings: i.Settings
-    columns: tuple[str, ...]
+    known_events: tuple[frames.Frame, ...]
+    settings: interface.Settings
+    report_columns: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
 
 
-class _Checks:
+class _ErrorCollector:
     """Collects every fault of a file: file, key, what was expected."""
 
     def __init__(self, path: str) -> None:
-        self.path, self.faults = path, list[str]()
+        self.path, self.errors = path, list[str]()
 
-    def fault(self, key: str, expected: str) -> None:
-        self.faults.append(f"{self.path}: {key}: {expected}")
+    def add_error(self, key: str, expected: str) -> None:
+        self.errors.append(f"{self.path}: {key}: {expected}")
 
-    def get(self, tree: dict[str, Any], key: str, convert: Callable[[Any], Any], default: Any = None) -> Any:
+    def read(self, tree: dict[str, Any], key: str, convert: Callable[[Any], Any], default: Any = None) -> Any:
         name = key.rpartition(".")[2]
         if name not in tree and default is not None:
             return default
         try:
             return convert(tree.get(name))
         except (ValueError, TypeError) as error:
-            self.fault(key, str(error))
+            self.add_error(key, str(error))
             return default
 
 
-def address(value: Any) -> Address:
+def parse_address(value: Any) -> Address:
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     octets = host.split(".")
     sound = len(octets) == 4 and all(o.isascii() and o.isdigit() and int(o) < 256 for o in octets)
@@ -71,25 +71,25 @@
     return host, int(port)
 
 
-def _text(value: Any) -> str:
+def _parse_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
         raise ValueError("expected a text")
     return value
 
 
-def _tree(value: Any) -> dict[str, Any]:
+def _parse_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
         raise ValueError("expected an object")
     return value
 
 
-def _list(value: Any) -> list[Any]:
+def _parse_list(value: Any) -> list[Any]:
     if not isinstance(value, list):
         raise ValueError("expected a list")
     return value
 
 
-def _seed(value: Any) -> int:
+def _parse_seed(value: Any) -> int:
     if not isinstance(value, str) or not 1 <= len(value) <= 32:
         raise ValueError("expected hex digits")
     try:
@@ -99,13 +99,13 @@
     return found
 
 
-def _positive(value: Any) -> float:
+def _parse_positive(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e9:
         raise ValueError("expected a number above 0")
     return float(value)
 
 
-def _whole(low: int, high: int) -> Callable[[Any], int]:
+def _integer_parser(low: int, high: int) -> Callable[[Any], int]:
     def convert(value: Any) -> int:
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
             raise ValueError(f"expected a whole number from {low} to {high}")
@@ -114,7 +114,7 @@
     return convert
 
 
-def _place(names: tuple[str, ...]) -> Callable[[Any], int]:
+def _index_parser(names: tuple[str, ...]) -> Callable[[Any], int]:
     def convert(value: Any) -> int:
         if value not in names:
             raise ValueError("expected one of " + ", ".join(names))
@@ -123,55 +123,57 @@
     return convert
 
 
-def _state(value: Any) -> int:
-    if value not in STATES:
-        raise ValueError("expected one of " + ", ".join(STATES))
-    return STATES[value]
+def _parse_phase(value: Any) -> int:
+    if value not in STATE_BY_PHASE:
+        raise ValueError("expected one of " + ", ".join(STATE_BY_PHASE))
+    return STATE_BY_PHASE[value]
 
 
-def _member(
-    checks: _Checks, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
+def _read_member(
+    checks: _ErrorCollector, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> frames.OfficeRecord | None:
-    before = len(checks.faults)
-    office = checks.get(tree, f"{key}.id", frames.office_id)
-    state = checks.get(tree, f"{key}.phase", _state)
+    before = len(checks.errors)
+    office = checks.read(tree, f"{key}.id", frames.office_id)
+    state = checks.read(tree, f"{key}.phase", _parse_phase)
     gone = state == frames.REMOVED  # nothing more is needed of it
-    host, port = checks.get(tree, f"{key}.host_port", address, NOWHERE if gone else None) or NOWHERE
-    zone = checks.get(tree, f"{key}.locality", _place(zones), 0 if gone else None)
-    kind = checks.get(tree, f"{key}.flavor", _place(kinds), 0)
-    cell = checks.get(tree, f"{key}.cell", _whole(0, 65_535), 0)
-    weight = checks.get(tree, f"{key}.size", _positive, 1.0)
-    started = checks.get(tree, f"{key}.up_since_ms", _whole(0, 1 << 53), 0)
-    if len(checks.faults) > before:
+    host, port = (
+        checks.read(tree, f"{key}.host_port", parse_address, NO_ADDRESS if gone else None) or NO_ADDRESS
+    )
+    zone = checks.read(tree, f"{key}.locality", _index_parser(zones), 0 if gone else None)
+    kind = checks.read(tree, f"{key}.flavor", _index_parser(kinds), 0)
+    cell = checks.read(tree, f"{key}.cell", _integer_parser(0, 65_535), 0)
+    weight = checks.read(tree, f"{key}.size", _parse_positive, 1.0)
+    started = checks.read(tree, f"{key}.up_since_ms", _integer_parser(0, 1 << 53), 0)
+    if len(checks.errors) > before:
         return None
     return frames.OfficeRecord(
-        office, host, port, state, zone, kind, cell, int(weight * THOUSANDTHS), started
+        office, host, port, state, zone, kind, cell, int(weight * WEIGHT_SCALE), started
     )
 
 
-def _known(
-    checks: _Checks, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
+def _read_known_events(
+    checks: _ErrorCollector, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> tuple[frames.Frame, ...]:
     found = []
-    for place, entry in enumerate(checks.get(tree, "known.entries", _list, [])):
+    for place, entry in enumerate(checks.read(tree, "known.entries", _parse_list, [])):
         key = f"known.entries.{place}"
         try:
-            hosts = _tree(_tree(entry).get("hosts"))
+            hosts = _parse_object(_parse_object(entry).get("hosts"))
         except ValueError as error:
-            checks.fault(key, str(error))
+            checks.add_error(key, str(error))
             continue
-        number = checks.get(entry, f"{key}.pos", _whole(0, 1 << 62))
-        members = checks.get(hosts, f"{key}.hosts.members", _list, [])
+        number = checks.read(entry, f"{key}.pos", _integer_parser(0, 1 << 62))
+        members = checks.read(hosts, f"{key}.hosts.members", _parse_list, [])
         records = []
         for at, member in enumerate(members):
             tree = member if isinstance(member, dict) else {}
-            records.append(_member(checks, f"{key}.hosts.members.{at}", tree, zones, kinds))
+            records.append(_read_member(checks, f"{key}.hosts.members.{at}", tree, zones, kinds))
         kind = frames.FULL_LIST if hosts.get("complete") else frames.CHANGES
         found.append(frames.Frame(number or 0, kind, tuple(r for r in records if r is not None)))
     return tuple(found)
 
 
-def load(path: Path) -> Platform:
+def load(path: Path) -> PlatformConfig:
     """The configuration in a file; SettingsError with every fault."""
     try:
         tree = json.loads(path.read_bytes())
@@ -179,18 +181,18 @@
         raise SettingsError([f"{path}: {error.strerror or error}"]) from None
     except ValueError as error:
         raise SettingsError([f"{path}: not JSON: {error}"]) from None
-    return build(str(path), tree)
+    return parse(str(path), tree)
 
 
-def build(path: str, tree: Any) -> Platform:
-    checks = _Checks(path)
+def parse(path: str, tree: Any) -> PlatformConfig:
+    checks = _ErrorCollector(path)
     if not isinstance(tree, dict):
         raise SettingsError([f"{path}: expected an object"])
-    settings: i.Settings | None = None
+    settings: interface.Settings | None = None
     columns: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    raw = checks.get(tree, "settings", _tree)
+    raw = checks.read(tree, "settings", _parse_object)
     if raw is not None:
         try:
             pairs = SettingPairs.from_json(raw)
@@ -198,34 +200,36 @@
             check_settings(settings)
             zones, kinds = tuple(raw.get("Zones") or ()), tuple(raw.get("Kinds") or ())
         except (ValueError, TypeError) as error:
-            checks.fault("settings", str(error))
-    limits = checks.get(tree, "limits", _tree, {})
+            checks.add_error("settings", str(error))
+    limits = checks.read(tree, "limits", _parse_object, {})
     peers = []
-    for place, item in enumerate(checks.get(tree, "peers", _list, [])):
+    for place, item in enumerate(checks.read(tree, "peers", _parse_list, [])):
         try:
-            peers.append(address(item))
+            peers.append(parse_address(item))
         except ValueError as error:
-            checks.fault(f"peers.{place}", str(error))
-    found = Platform(
+            checks.add_error(f"peers.{place}", str(error))
+    found = PlatformConfig(
         path=path,
-        name=checks.get(tree, "name", _text),
-        listen=checks.get(tree, "listen", address),
-        seed=checks.get(tree, "seed", _seed),
-        memory_mb=checks.get(limits, "limits.memory_mb", _positive, 192.0),
-        sockets=checks.get(limits, "limits.sockets", _whole(16, 1 << 20), 256),
-        cores=checks.get(limits, "limits.cores", _positive, 1.0),
-        peer_listen=checks.get(tree, "peer_listen", address) if tree.get("peer_listen") else None,
+        name=checks.read(tree, "name", _parse_text),
+        listen=checks.read(tree, "listen", parse_address),
+        seed=checks.read(tree, "seed", _parse_seed),
+        memory_mb=checks.read(limits, "limits.memory_mb", _parse_positive, 192.0),
+        sockets=checks.read(limits, "limits.sockets", _integer_parser(16, 1 << 20), 256),
+        cores=checks.read(limits, "limits.cores", _parse_positive, 1.0),
+        peer_listen=checks.read(tree, "peer_listen", parse_address) if tree.get("peer_listen") else None,
         peers=tuple(peers),
-        peers_all=checks.get(tree, "peers_all", address) if tree.get("peers_all") else None,
-        journal=checks.get(tree, "journal", address),
-        known=_known(checks, checks.get(tree, "known", _tree, {"entries": []}), zones, kinds)
+        peers_all=checks.read(tree, "peers_all", parse_address) if tree.get("peers_all") else None,
+        journal=checks.read(tree, "journal", parse_address),
+        known_events=_read_known_events(
+            checks, checks.read(tree, "known", _parse_object, {"entries": []}), zones, kinds
+        )
         if settings is not None
         else (),
         settings=settings,  # type: ignore[arg-type]
-        columns=columns,
+        report_columns=columns,
         zones=zones,
         kinds=kinds,
     )
-    if checks.faults:
-        raise SettingsError(checks.faults)
+    if checks.errors:
+        raise SettingsError(checks.errors)
     return found
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from ospreybridge.access.server import Server
+from ospreybridge.access.server import PlatformServer
 from ospreybridge.core.timers import TimerQueue
-from ospreybridge.settings.platform import Address, Platform, build
+from ospreybridge.settings.platform import Address, PlatformConfig, parse
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.jsonl import Message
 
@@ -92,8 +92,8 @@
     }
 
 
-def platform(**more: Any) -> Platform:
-    return build("config.json", config(**more))
+def platform_config(**more: Any) -> PlatformConfig:
+    return parse("config.json", config(**more))
 
 
 class Rig:
@@ -102,89 +102,94 @@
     def __init__(self, **more: Any) -> None:
         self.now = 1_000.0
         self.timers = TimerQueue()
-        self.out: list[tuple[int, Message]] = []  # all that was sent, in order: connection, message
-        self.dialled: dict[int, Address] = {}
+        self.sent_messages: list[tuple[int, Message]] = []  # all that was sent, in order: connection, message
+        self.open_dials: dict[int, Address] = {}
         self.closed: dict[int, str] = {}
         self.datagrams: list[tuple[Address, bytes]] = []
-        self.notes: list[str] = []
-        self.server = Server(
-            platform(**more), self.timers, self, self.now, 0.0, lambda event, **_: self.notes.append(event)
+        self.log_events: list[str] = []
+        self.server = PlatformServer(
+            platform_config(**more),
+            self.timers,
+            self,
+            self.now,
+            0.0,
+            lambda event, **_: self.log_events.append(event),
         )
-        self.serial = 0
-        self.attempts: dict[str, int] = {}  # set-ups that are out, and where
-        self.connect()
+        self.last_uid = 0
+        self.open_attempts: dict[str, int] = {}  # set-ups that are out, and where
+        self.accept_dials()
         for office in (11, 12):
-            self.says(self.link(office), "usage", "", load="free:20;size:20")
+            self.office_sends(self.office_connection(office), "usage", "", load="free:20;size:20")
 
     # -- the port
 
     def dial(self, conn: int, address: Address) -> None:
-        self.dialled[conn] = address
+        self.open_dials[conn] = address
 
     def send(self, conn: int, data: bytes) -> None:
         assert conn not in self.closed
         message = jsonl.decode(data.rstrip(b"\n"))
-        self.out.append((conn, message))
+        self.sent_messages.append((conn, message))
         if message.kind == jsonl.LAUNCH:
-            assert message.uid not in self.attempts, "two attempts of one call"
-            self.attempts[message.uid] = conn
-        elif message.kind == jsonl.STOP and self.attempts.get(message.uid) == conn:
-            del self.attempts[message.uid]
+            assert message.uid not in self.open_attempts, "two attempts of one call"
+            self.open_attempts[message.uid] = conn
+        elif message.kind == jsonl.STOP and self.open_attempts.get(message.uid) == conn:
+            del self.open_attempts[message.uid]
 
     def close(self, conn: int, reason: str) -> None:
         self.closed[conn] = reason
-        self._ended(conn)
+        self._drop_attempts(conn)
 
-    def _ended(self, conn: int) -> None:
+    def _drop_attempts(self, conn: int) -> None:
         """Closing a connection gives up the set-ups open on it."""
-        self.attempts = {uid: where for uid, where in self.attempts.items() if where != conn}
+        self.open_attempts = {uid: where for uid, where in self.open_attempts.items() if where != conn}
 
-    def breaks(self, conn: int) -> None:
-        self._ended(conn)
-        self.server.link_lost(self.now, conn)
+    def break_office_connection(self, conn: int) -> None:
+        self._drop_attempts(conn)
+        self.server.office_disconnected(self.now, conn)
 
-    def datagram(self, to: Address, body: bytes) -> None:
+    def send_datagram(self, to: Address, body: bytes) -> None:
         self.datagrams.append((to, body))
 
     # -- what happens
 
-    def connect(self) -> None:
+    def accept_dials(self) -> None:
         """Every connection that is being opened comes up."""
-        while self.dialled:
-            conn, _ = self.dialled.popitem()
-            self.server.link_opened(self.now, conn)
+        while self.open_dials:
+            conn, _ = self.open_dials.popitem()
+            self.server.office_connected(self.now, conn)
 
-    def refuse(self, refused: bool = True) -> None:
-        for conn in list(self.dialled):
-            del self.dialled[conn]
-            self.server.link_failed(self.now, conn, refused)
+    def fail_dials(self, refused: bool = True) -> None:
+        for conn in list(self.open_dials):
+            del self.open_dials[conn]
+            self.server.office_dial_failed(self.now, conn, refused)
 
-    def passes(self, ms: float, connect: bool = True) -> None:
+    def advance(self, ms: float, connect: bool = True) -> None:
         end = self.now + ms
         while (due := self.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
             self.timers.run_due(self.now)
             if connect:
-                self.connect()
+                self.accept_dials()
         self.now = end
 
-    def link(self, office: int) -> int:
-        return next(iter(self.server.pools[office].links))
+    def office_connection(self, office: int) -> int:
+        return next(iter(self.server.pools[office].connections))
 
-    def client(self) -> int:
-        conn = self.server.client_opened(self.now)
+    def connect_client(self) -> int:
+        conn = self.server.client_connected(self.now)
         assert conn is not None
         return conn
 
-    def line(self, conn: int, message: Message) -> None:
+    def client_sends(self, conn: int, message: Message) -> None:
         self.server.client_line(self.now, conn, jsonl.encode(message).rstrip(b"\n"))
 
-    def uid(self) -> str:
-        self.serial += 1
-        return f"{self.serial:016x}"
+    def new_uid(self) -> str:
+        self.last_uid += 1
+        return f"{self.last_uid:016x}"
 
     def launch(self, conn: int, dest: int = 1, uid: str = "", words: str = "", **meta: Any) -> str:
-        uid = uid or self.uid()
+        uid = uid or self.new_uid()
         fields = {
             "class": "voice",
             "left": "1500",
@@ -193,34 +198,36 @@
             "extras": f"dest:{dest};width:1;via:-1{words}",
             **meta,
         }
-        self.line(conn, Message(jsonl.LAUNCH, uid, fields, body="an offer"))
+        self.client_sends(conn, Message(jsonl.LAUNCH, uid, fields, body="an offer"))
         return uid
 
-    def says(
+    def office_sends(
         self, conn: int, kind: str, uid: str, reason: int = 0, body: str | None = None, **meta: Any
     ) -> None:
         message = Message(kind, uid or "0" * 16, meta, reason, body)
-        if kind in ("running", "stop") and self.attempts.get(uid) == conn:
-            del self.attempts[uid]
-        self.server.link_line(self.now, conn, jsonl.encode(message).rstrip(b"\n"))
+        if kind in ("running", "stop") and self.open_attempts.get(uid) == conn:
+            del self.open_attempts[uid]
+        self.server.office_line(self.now, conn, jsonl.encode(message).rstrip(b"\n"))
 
-    def news(self, number: int, *records: frames.OfficeRecord, kind: int = frames.CHANGES) -> None:
-        self.server.news(self.now, frames.Frame(number, kind, records))
+    def apply_changes(self, number: int, *records: frames.OfficeRecord, kind: int = frames.CHANGES) -> None:
+        self.server.apply_list_event(self.now, frames.Frame(number, kind, records))
 
     # -- what was seen
 
-    def to(self, uid: str, conn: int | None = None, kind: str = "") -> list[Message]:
-        return [m for c, m in self.out if m.uid == uid and conn in (None, c) and kind in ("", m.kind)]
+    def messages_of(self, uid: str, conn: int | None = None, kind: str = "") -> list[Message]:
+        return [
+            m for c, m in self.sent_messages if m.uid == uid and conn in (None, c) and kind in ("", m.kind)
+        ]
 
-    def sent(self, uid: str) -> int:
+    def set_up_connection(self, uid: str) -> int:
         """The connection on which the newest set-up of a call went to an office."""
-        return [c for c, m in self.out if m.uid == uid and m.kind == jsonl.LAUNCH][-1]
+        return [c for c, m in self.sent_messages if m.uid == uid and m.kind == jsonl.LAUNCH][-1]
 
-    def stands(self, conn: int, dest: int = 1) -> tuple[str, int]:
+    def establish(self, conn: int, dest: int = 1) -> tuple[str, int]:
         uid = self.launch(conn, dest)
-        self.connect()
-        link = self.sent(uid)
-        self.says(link, "running", uid, body="an answer")
+        self.accept_dials()
+        link = self.set_up_connection(uid)
+        self.office_sends(link, "running", uid, body="an answer")
         return uid, link
 
 
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -16,12 +16,12 @@
 
 from ospreybridge.fronts.access import Front
 from ospreybridge.net.loop import EventLoop
-from ospreybridge.settings.platform import build
+from ospreybridge.settings.platform import parse
 from ospreybridge.signalling import frames
 from ospreybridge.standins.platform import CallerStandIn, JournalService, OfficeStandIn
 from tests.platform_rig import config, member, record
 
-WITHIN = 10_000.0  # ms: far more than anything here takes
+TIMEOUT_MS = 10_000.0  # ms: far more than anything here takes
 
 
 class World:
@@ -39,16 +39,16 @@
             journal=f"127.0.0.1:{self.journal.port}",
         )
 
-    def serve(self) -> Front:
+    def start_server(self) -> Front:
         self.loop.on_task_error = lambda name, error: pytest.fail(f"{name}: {error!r}")
-        front = Front(self.loop, build("config.json", self.config()), 0.0)
-        self.until(lambda: all(len(pool.links) == 2 for pool in front.core.pools.values()))
+        front = Front(self.loop, parse("config.json", self.config()), 0.0)
+        self.until(lambda: all(len(pool.connections) == 2 for pool in front.server.pools.values()))
         return front
 
     def until(self, condition: object) -> None:
-        assert callable(condition) and self.loop.run_until(condition, WITHIN), "not in time"
+        assert callable(condition) and self.loop.run_until(condition, TIMEOUT_MS), "not in time"
 
-    def call(self, caller: CallerStandIn, dest: int = 1, left: int = 1_500) -> str:
+    def set_up(self, caller: CallerStandIn, dest: int = 1, left: int = 1_500) -> str:
         self.serial += 1
         uid = f"{self.serial:016x}"
         caller.launch(uid, dest, left)
@@ -66,34 +66,34 @@
 
 
 def test_calm_calls_stand_and_end(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     caller = CallerStandIn(world.loop, front.port)
-    uids = [world.call(caller, 1 + number % 2) for number in range(20)]
+    uids = [world.set_up(caller, 1 + number % 2) for number in range(20)]
     world.until(lambda: all(caller.kinds(uid) == ["running"] for uid in uids))
     assert all(caller.answers[uid][0].body == f"of {uid}" for uid in uids)
     for uid in uids:
         next(x for x in world.offices if uid in x.stands).release(uid)
     world.until(lambda: all(caller.kinds(uid) == ["running", "stop"] for uid in uids))
-    assert not front.core.standing and not front.core.calls
+    assert not front.server.established and not front.server.calls_by_ref
 
 
 def test_a_spoilt_answer_costs_its_own_call_one_attempt_and_no_other_anything(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     caller = CallerStandIn(world.loop, front.port)
     world.offices[1].mute = True
-    held = world.call(caller)
+    held = world.set_up(caller)
     world.until(lambda: world.offices[1].asked == [held])
     world.offices[1].mute, world.offices[1].spoil = False, b"\x00\xff{{{\n"
-    spoilt = world.call(caller)
+    spoilt = world.set_up(caller)
     world.until(lambda: caller.kinds(spoilt) == ["running"])
     assert world.offices[1].asked.count(spoilt) == 2 and world.offices[1].asked.count(held) == 1
-    assert front.core.counts["attempts reset"] == 1 and held in front.core.pending
+    assert front.server.counts["attempts reset"] == 1 and held in front.server.pending
 
 
 def test_a_silent_crowd_harms_no_usual_caller(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     caller = CallerStandIn(world.loop, front.port)
-    first = world.call(caller)
+    first = world.set_up(caller)
     world.until(lambda: caller.kinds(first) == ["running"])
     crowd = []
     for _ in range(300):
@@ -101,41 +101,41 @@
         sock.setblocking(False)
         sock.connect_ex(("127.0.0.1", front.port))
         crowd.append(sock)
-    uids = [world.call(caller) for _ in range(5)]
+    uids = [world.set_up(caller) for _ in range(5)]
     world.until(lambda: all(caller.kinds(uid) == ["running"] for uid in uids))
-    world.until(lambda: len(front.core.clients) == 1)
+    world.until(lambda: len(front.server.clients) == 1)
     assert not caller.gone
     for sock in crowd:
         sock.close()
 
 
 def test_a_refusal_arrives_although_its_connection_is_closed_with_octets_unread(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     for _ in range(20):
         caller = CallerStandIn(world.loop, front.port)
-        uid = world.call(caller, 9)
+        uid = world.set_up(caller, 9)
         caller.stream.write(b"not a message\n" + b"x" * 60_000)
         world.until(lambda: caller.gone)  # noqa: B023
         assert caller.kinds(uid) == ["stop"]
 
 
 def test_endless_and_half_messages_are_closed(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     endless, half = (CallerStandIn(world.loop, front.port) for _ in range(2))
     half.stream.write(b'{"kind":"launch"')
     endless.stream.max_unsent_bytes = 1 << 24
     endless.stream.write(b"x" * (1 << 20))
     world.until(lambda: endless.gone and half.gone)
-    assert not front.core.clients
+    assert not front.server.clients
 
 
 def test_the_feed_is_asked_again_after_a_break_and_after_a_silence(world: World) -> None:
-    front = world.serve()
+    front = world.start_server()
     world.until(lambda: world.journal.asked == [1])
     world.journal.streams[0].close("breaks")
     world.until(lambda: world.journal.asked == [1, 1])
     world.journal.tell(frames.Frame(2, frames.CHANGES, (record(11, 1, frames.DRAINING),)))
-    world.until(lambda: front.core.offices.last == 2)
+    world.until(lambda: front.server.office_list.last_number == 2)
     world.journal.mute = True  # open, and silent from now on
     world.until(lambda: world.journal.asked == [1, 1, 2])
 
@@ -171,7 +171,7 @@
         child.send_signal(signal.SIGHUP)
         world.until(lambda: other.asked == [1])
         caller = CallerStandIn(world.loop, port)
-        uid = world.call(caller)
+        uid = world.set_up(caller)
         world.until(lambda: caller.kinds(uid) == ["running"])
         assert child.poll() is None
 
@@ -180,10 +180,10 @@
     path = tmp_path / "config.json"
     with process(world, path) as (child, port):
         caller = CallerStandIn(world.loop, port)
-        stands = world.call(caller)
+        stands = world.set_up(caller)
         world.until(lambda: caller.kinds(stands) == ["running"])
         world.offices[1].mute = True
-        pending = world.call(caller, left=3_000)
+        pending = world.set_up(caller, left=3_000)
         world.until(lambda: pending in world.offices[1].asked)
         child.send_signal(signal.SIGTERM)
         world.until(lambda: b'"stopping"' in path.with_suffix(".log").read_bytes())
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -12,13 +12,13 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.instance import SettingPairs, read_report, read_settings
-from ospreybridge.settings.platform import build, load
+from ospreybridge.settings.platform import load, parse
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.errors import MessageError
-from tests.platform_rig import SETTINGS, config, member, platform
+from tests.platform_rig import SETTINGS, config, member, platform_config
 
 SAME = hypothesis_settings(deadline=None, derandomize=True, database=None)
 TEXT = st.text(max_size=40)
@@ -137,25 +137,25 @@
 
 
 def test_one_reading_serves_the_wire_and_the_platform() -> None:
-    found = platform()
+    found = platform_config()
     text = "\n".join(f"{key}={value}" for key, value in SettingPairs.from_json(SETTINGS).values.items())
-    assert read_settings(SettingPairs.from_text(text)) == (found.settings, found.columns)
+    assert read_settings(SettingPairs.from_text(text)) == (found.settings, found.report_columns)
     assert found.settings.classes[0].name == "voice" and found.settings.classes[0].hold == 2_000.0
-    assert found.settings.rules.release == 100.0 and found.settings.layout is i.Layout.MESH
+    assert found.settings.rules.release == 100.0 and found.settings.layout is interface.Layout.MESH
     assert [tenant.name for tenant in found.settings.tenants] == ["acme", "east end"]
-    assert read_report(found.columns, (3.0, -1.0)) == i.Report(free=3.0)
-    assert found.known[0].records[2].cell == 2 and found.seed == 255
+    assert read_report(found.report_columns, (3.0, -1.0)) == interface.Report(free=3.0)
+    assert found.known_events[0].records[2].cell == 2 and found.seed == 255
 
 
-def faults(tree: Any) -> list[str]:
+def config_errors(tree: Any) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        build("c.json", tree)
+        parse("c.json", tree)
     return caught.value.errors
 
 
 def test_every_fault_is_named_with_its_key_and_what_was_expected() -> None:
     tree = config(listen="here", seed="xyz", peers=["127.0.0.1:7100", "no"], journal=5, limits={"sockets": 1})
-    found = faults(tree)
+    found = config_errors(tree)
     keys = [line.split(": ")[1] for line in found]
     assert keys == ["peers.1", "listen", "seed", "limits.sockets", "journal"]
     assert all(line.startswith("c.json: ") and "expected" in line for line in found)
@@ -172,7 +172,7 @@
 )
 def test_settings_that_make_no_sense_are_refused_by_their_key(key: str, value: Any, named: str) -> None:
     try:
-        build("c.json", config(settings={**SETTINGS, key: value}))
+        parse("c.json", config(settings={**SETTINGS, key: value}))
     except SettingsError as error:
         assert any(f"c.json: settings: {named}" in line for line in error.errors)
     else:
@@ -183,7 +183,7 @@
     bad = [{"id": 5}, "x", member(12, 2, host_port="a:b")]
     members = [member(10, 0, "asleep"), member(11, 1, locality="west"), *bad]
     hosts = {"complete": True, "members": members}
-    found = faults(config(known={"entries": [{"pos": 1, "hosts": hosts}, {}]}))
+    found = config_errors(config(known={"entries": [{"pos": 1, "hosts": hosts}, {}]}))
     assert [line.split(": ")[1] for line in found][:2] == [
         "known.entries.0.hosts.members.0.phase",
         "known.entries.0.hosts.members.1.locality",
@@ -205,4 +205,4 @@
 def test_a_sound_file_is_read(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
-    assert load(path) == build(str(path), config())
+    assert load(path) == parse(str(path), config())
