--- a/ospreybridge/access/offices.py
+++ b/ospreybridge/access/offices.py
@@ -1,7 +1,7 @@
-"""The office list as the journal service tells it: who is there, where, in which state, and since when.
+"""The office list from the journal service: address, cell, readiness and start time of each office.
 
-Events are numbered; old ones are ignored. What the module is told is made here, and so is which calls are
-over because their office is another one now.
+Events are numbered, and old ones are ignored. Each event is translated into the controller's form; from the
+start times the server recognizes that an office was restarted and its calls are lost.
 """
 
 from __future__ import annotations
@@ -17,71 +17,90 @@
     frames.DRAINING: interface.Readiness.DRAINING,
     frames.REMOVED: interface.Readiness.GONE,
 }
-WEIGHT_SCALE = 1_000.0
+WEIGHT_SCALE = 1_000.0  # frames carry weights in thousandths
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Office:
+    """One office of the list."""
+
     id: int
     cell: int
     address: Address
     readiness: interface.Readiness
-    started_at: float  # ms of the loop's clock, 0: long ago
-    readiness_since: float  # since when it is known to drain or to be gone
+    started_at: float  # milliseconds of the loop's clock; 0: long ago
+    readiness_since: float  # when the present readiness was learnt
 
 
 class OfficeList:
+    """The offices known, and the number of the last event applied."""
+
     def __init__(self, zone_count: int, kind_count: int, unix_offset_ms: float) -> None:
-        """`unix`: Unix milliseconds at zero of the clock that the events' times are turned to."""
+        """`unix_offset_ms`: Unix time at zero of the clock that start times are converted to."""
         self.zone_count, self.kind_count, self.unix_offset_ms = zone_count, kind_count, unix_offset_ms
-        self.last_number = 0  # number of the last event
+        self.last_number = 0
         self.by_id: dict[int, Office] = {}
 
     def apply(self, now: float, frame: frames.Frame) -> interface.Members | None:
-        """What an event means to the module; None for nothing new; FrameError where it can't be meant."""
+        """The event for the controller; None if it holds nothing new; FrameError if invalid."""
         if frame.kind == frames.NO_CHANGES or frame.number <= self.last_number:
             return None
         if frame.kind == frames.CHANGES and frame.number != self.last_number + 1:
             raise FrameError(f"event {frame.number} after {self.last_number}")
-        for r in frame.records:
-            if r.state != frames.REMOVED and (
-                r.zone >= self.zone_count or r.kind >= self.kind_count or not r.port
+        for record in frame.records:
+            if record.state != frames.REMOVED and (
+                record.zone >= self.zone_count or record.kind >= self.kind_count or not record.port
             ):
-                raise FrameError(f"office {frames.office_name(r.id)} has no zone, kind or port")
+                raise FrameError(f"office {frames.office_name(record.id)} has no zone, kind or port")
         entries = tuple(self._apply_record(now, record) for record in frame.records)
         self.last_number = frame.number
         if frame.kind == frames.FULL_LIST:
-            listed = {entry.office for entry in entries}
+            listed_ids = {entry.office for entry in entries}
             for office in self.by_id.values():
-                if office.id not in listed:
+                if office.id not in listed_ids:
                     self._set_readiness(now, office, interface.Readiness.GONE)
         form = interface.ListForm.FULL if frame.kind == frames.FULL_LIST else interface.ListForm.DELTA
         return interface.Members(form, frame.number, entries)
 
-    def _apply_record(self, now: float, r: frames.OfficeRecord) -> interface.Entry:
-        started = max(0.001, r.started_unix_ms - self.unix_offset_ms) if r.started_unix_ms else 0.0
-        office = self.by_id.get(r.id)
+    def _apply_record(self, now: float, record: frames.OfficeRecord) -> interface.Entry:
+        """Updates one office; a removed one keeps its cell and address."""
+        started_at = (
+            max(0.001, record.started_unix_ms - self.unix_offset_ms) if record.started_unix_ms else 0.0
+        )
+        office = self.by_id.get(record.id)
         if office is None:
-            office = self.by_id[r.id] = Office(
-                r.id, r.cell, (r.address, r.port), interface.Readiness.READY, started, 0.0
+            office = self.by_id[record.id] = Office(
+                record.id,
+                record.cell,
+                (record.address, record.port),
+                interface.Readiness.READY,
+                started_at,
+                0.0,
             )
-        if r.state != frames.REMOVED:
-            office.cell, office.address, office.started_at = r.cell, (r.address, r.port), started
-        self._set_readiness(now, office, READINESS_BY_STATE[r.state])
-        weight = r.weight / WEIGHT_SCALE
-        return interface.Entry(r.id, office.cell, r.zone, office.readiness, office.started_at, r.kind, weight)
+        if record.state != frames.REMOVED:
+            office.cell, office.address, office.started_at = (
+                record.cell,
+                (record.address, record.port),
+                started_at,
+            )
+        self._set_readiness(now, office, READINESS_BY_STATE[record.state])
+        weight = record.weight / WEIGHT_SCALE
+        return interface.Entry(
+            record.id, office.cell, record.zone, office.readiness, office.started_at, record.kind, weight
+        )
 
     def _set_readiness(self, now: float, office: Office, readiness: interface.Readiness) -> None:
         if office.readiness is not readiness:
             office.readiness, office.readiness_since = readiness, now
 
-    def is_barred(self, now: float, office: int, grace: float) -> bool:
-        """Whether nothing new may go there: unknown, or told for longer than the grace that it drains."""
-        found = self.by_id.get(office)
-        return found is None or (
-            found.readiness is not interface.Readiness.READY and now - found.readiness_since >= grace
+    def is_barred(self, now: float, office_id: int, grace: float) -> bool:
+        """Whether an office gets no new set-ups: unknown, or not ready for `grace` milliseconds."""
+        office = self.by_id.get(office_id)
+        return office is None or (
+            office.readiness is not interface.Readiness.READY and now - office.readiness_since >= grace
         )
 
-    def forget(self, office: int) -> None:
-        self.by_id.pop(office, None)
+    def forget(self, office_id: int) -> None:
+        """Drops an office that nothing refers to any more."""
+        self.by_id.pop(office_id, None)
--- a/ospreybridge/access/pool.py
+++ b/ospreybridge/access/pool.py
@@ -1,8 +1,10 @@
-"""The connections to one office: which is used, when one is opened, when the office counts as unreachable.
+"""Pool of connections to one office: which one is used, when one is opened, when the office counts as lost.
 
-Ways weighed (docs/access.md): one set-up a connection out of a pool of idle ones, shared only where no more
-may be opened. A spoilt answer spoils what is open on its connection, so a pool loses one call where a shared
-connection loses all. Time comes with every call, the jitter from a seed; nothing here does I/O.
+Each connection carries one set-up at a time and is shared only if no more may be opened: an invalid answer
+ends everything open on its connection, which costs a pool one call but a shared connection all of them. The
+alternatives are compared in docs/access.md.
+
+No I/O: the time (milliseconds of the event loop's clock) is passed in as `now`, and the jitter is seeded.
 """
 
 from __future__ import annotations
@@ -12,139 +14,160 @@
 
 from ospreybridge.access.calls import Attempt
 
-SPARE_CONNECTIONS = (
-    2  # idle connections held to an office that takes calls: one for its news, one for the next set-up
-)
-IDLE_TIMEOUT_MS = 8_000.0  # ms after which an idle connection beyond the spare ones is given back
-RETIRED_LINGER_MS = 1_000.0  # ms for which a connection that takes no more set-ups is still read
-FIRST_RETRY_DELAY_MS = 60.0  # ms between attempts to open one, doubled after each failure
-MAX_RETRY_DELAY_MS = 1_000.0  # ms: an office that is back must be heard within a second
-LIVENESS_DIAL_AFTER_MS = (
-    1_000.0  # ms without a word after which a new connection is opened, to see whether it lives
-)
-REPORTER_TIMEOUT_MS = 300.0  # ms without news on the connection whose news count, while others bring some
-REFUSAL_CONFIRMED_AFTER_MS = (
-    1_500.0  # ms of silence on open connections after which a refused connect is believed
-)
-LOST_AFTER_MS = 4_500.0  # ms of silence and failed connects after which its standing calls count as over
+SPARE_CONNECTIONS = 2  # kept idle per office: one for its load updates, one for the next set-up
+IDLE_TIMEOUT_MS = 8_000.0  # idle connections beyond the spare ones are closed then
+RETIRED_LINGER_MS = 1_000.0  # a retired connection is still read for this time
+FIRST_RETRY_DELAY_MS = 60.0  # between dials; doubled after each failure
+MAX_RETRY_DELAY_MS = 1_000.0  # an office that is back must be noticed within a second
+LIVENESS_DIAL_AFTER_MS = 1_000.0  # silence after which a new connection tests whether the office is alive
+REPORTER_TIMEOUT_MS = 300.0  # without a load update from the reporting connection, another one takes over
+REFUSAL_CONFIRMED_AFTER_MS = 1_500.0  # silence on open connections after which a refused dial means lost
+LOST_AFTER_MS = 4_500.0  # silence and failed dials after which established calls count as ended
 
 
 class OfficeConnection:
+    """An open connection to an office."""
+
     __slots__ = ("attempts", "id", "idle_since", "retired")
 
-    def __init__(self, conn: int, now: float) -> None:
-        self.id, self.idle_since = conn, now
-        self.retired = False  # takes no more set-ups: what is still on its way may arrive, then it is closed
-        self.attempts: dict[str, Attempt] = {}  # set-ups written to it that wait for their answer
+    def __init__(self, connection_id: int, now: float) -> None:
+        self.id, self.idle_since = connection_id, now
+        self.retired = False  # takes no new set-ups; closed once what is still in transit can have arrived
+        self.attempts: dict[str, Attempt] = {}  # sent on it and unanswered, by uid
 
 
 class ConnectionPool:
-    def __init__(self, office: int, now: float, random: Random) -> None:
-        self.office_id, self.random = office, random
+    """The connections to one office and the attempts that wait for one."""
+
+    def __init__(self, office_id: int, now: float, random: Random) -> None:
+        self.office_id, self.random = office_id, random
         self.connections: dict[int, OfficeConnection] = {}
         self.dialling: set[int] = set()
-        self.waiting: deque[Attempt] = deque()  # set-ups that wait for a connection
-        self.last_received = now  # the last sign of life
+        self.waiting: deque[Attempt] = deque()  # attempts without a connection yet, oldest first
+        self.last_received = now  # any message, or a new connection
         self.failures = 0
         self.next_dial_at = now
-        self.reporter_id, self.reported_at = 0, now  # the connection whose news of the group count
-        self.last_load: str = ""  # the group's state as last told
-        self.dial_refused = False  # the last connect was refused: nothing runs there
+        self.reporter_id, self.reported_at = 0, now  # the connection whose load updates are used
+        self.last_load: str = ""  # the trunk group's state as last reported
+        self.dial_refused = False  # the last dial was refused: no process is listening there
 
     def size(self) -> int:
+        """Connections that are open or being opened."""
         return len(self.connections) + len(self.dialling)
 
     def idle_connections(self) -> list[OfficeConnection]:
-        return [link for link in self.connections.values() if not link.attempts and not link.retired]
+        """Connections that can take a set-up at once."""
+        return [
+            connection
+            for connection in self.connections.values()
+            if not connection.attempts and not connection.retired
+        ]
 
     def any_connection(self) -> OfficeConnection | None:
-        """One that may carry what belongs to no set-up; one taken out of use only where there is no other."""
-        return min(self.connections.values(), key=lambda link: link.retired, default=None)
+        """A connection for messages that belong to no set-up; a retired one only if there is no other."""
+        return min(self.connections.values(), key=lambda connection: connection.retired, default=None)
 
-    def choose_connection(self, may_open: bool) -> tuple[OfficeConnection | None, bool]:
-        """The connection for the set-up that waits longest, or whether to open one; else it waits on."""
+    def choose_connection(self, may_dial: bool) -> tuple[OfficeConnection | None, bool]:
+        """The connection for the oldest waiting attempt, and whether to open one for it.
+
+        With neither, the attempt keeps waiting.
+        """
         idle = self.idle_connections()
-        if idle:  # the one last used: the others can go back
-            return max(idle, key=lambda link: link.idle_since), False
-        if may_open:
+        if idle:  # the most recently used one, so that the others reach the idle time-out
+            return max(idle, key=lambda connection: connection.idle_since), False
+        if may_dial:
             return None, len(self.dialling) < len(self.waiting)
-        shared = [link for link in self.connections.values() if not link.retired]
+        shared = [connection for connection in self.connections.values() if not connection.retired]
         if not self.dialling and shared:
-            return min(shared, key=lambda link: len(link.attempts)), False
+            return min(shared, key=lambda connection: len(connection.attempts)), False
         return None, False
 
-    def retire(self, conn: int, now: float) -> None:
-        """A set-up on it was not answered in time, or its machine was away: an open connection may be dead.
+    def retire(self, connection_id: int, now: float) -> None:
+        """Takes a connection out of use after an unanswered set-up or an absence of its machine.
 
-        Guards against connections that a machine left open when it vanished: they never break, and each
-        set-up written to one is lost. Harm: a slow office has a connection opened anew for each time-out.
+        A machine that vanishes leaves connections open that never break, and each set-up sent on one is lost.
+        The cost: a slow office has a new connection opened for each time-out.
         """
-        link = self.connections.get(conn)
-        if link is not None and not link.retired:
-            link.retired, link.idle_since = True, now
+        connection = self.connections.get(connection_id)
+        if connection is not None and not connection.retired:
+            connection.retired, connection.idle_since = True, now
 
-    def needs_connection(self, now: float, may_open: bool, ready: bool, standing: bool) -> bool:
-        """Whether to open a connection now that no set-up asked for.
+    def needs_connection(self, now: float, may_dial: bool, ready: bool, has_calls: bool) -> bool:
+        """Whether to open a connection although no attempt is waiting for one.
 
-        Spare ones where new calls may go, and one to see whether a quiet office lives: only a new connection
-        tells a machine that vanished from one that has nothing to say, and it is no work for its processor.
+        Spare ones are for offices that may get new calls (`ready`). A silent office gets one as a liveness
+        test: only a new connection tells a machine that vanished from one that has nothing to send, and it
+        costs the office's processor nothing.
         """
-        if now < self.next_dial_at or self.dialling or not (ready or standing):
+        if now < self.next_dial_at or self.dialling or not (ready or has_calls):
             return False
         spare = (
-            len(self.idle_connections()) < SPARE_CONNECTIONS and may_open and (ready or not self.connections)
+            len(self.idle_connections()) < SPARE_CONNECTIONS and may_dial and (ready or not self.connections)
         )
         return spare or now - self.last_received >= LIVENESS_DIAL_AFTER_MS
 
-    def update_load(self, now: float, link: OfficeConnection, load: str) -> bool:
-        """Whether a group's state is new. An office tells it on all its connections: one of them counts.
+    def update_load(self, now: float, connection: OfficeConnection, load: str) -> bool:
+        """Stores a trunk group's state if it is new; returns whether it is.
 
-        Another counts instead where that one is gone, or tells nothing while the other does.
+        An office reports it on all its connections, with different delays, so only one of them is used.
+        Another takes over when that one is gone, or sends nothing while the other does.
         """
         if (
-            link.id != self.reporter_id
+            connection.id != self.reporter_id
             and self.reporter_id in self.connections
             and now - self.reported_at < REPORTER_TIMEOUT_MS
         ):
             return False
-        self.reporter_id, self.reported_at = link.id, now
+        self.reporter_id, self.reported_at = connection.id, now
         if load == self.last_load:
             return False
         self.last_load = load
         return True
 
     def dial_started(self, now: float) -> None:
+        """Delays the next dial; the caller adds the connection's number to `dialling`."""
         self.next_dial_at = now + FIRST_RETRY_DELAY_MS
 
-    def dial_succeeded(self, now: float, conn: int) -> OfficeConnection:
-        self.dialling.discard(conn)
-        for older in self.connections if self.failures else ():
-            self.retire(older, now)
+    def dial_succeeded(self, now: float, connection_id: int) -> OfficeConnection:
+        """Adds the new connection; after failed dials the older ones are retired, as they may be dead."""
+        self.dialling.discard(connection_id)
+        for older_id in self.connections if self.failures else ():
+            self.retire(older_id, now)
         self.last_received, self.failures, self.dial_refused = now, 0, False
-        link = self.connections[conn] = OfficeConnection(conn, now)
-        return link
+        connection = self.connections[connection_id] = OfficeConnection(connection_id, now)
+        return connection
 
-    def dial_failed(self, now: float, conn: int, refused: bool) -> None:
-        """A connection could not be had."""
-        self.dialling.discard(conn)
+    def dial_failed(self, now: float, connection_id: int, refused: bool) -> None:
+        """Schedules the next dial with exponential, jittered delay."""
+        self.dialling.discard(connection_id)
         self.dial_refused = refused
-        pause = min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2.0**self.failures)
+        delay = min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2.0**self.failures)
         self.failures = min(self.failures + 1, 16)
-        self.next_dial_at = now + pause * self.random.uniform(0.5, 1.0)
+        self.next_dial_at = now + delay * self.random.uniform(0.5, 1.0)
 
     def is_lost(self, now: float) -> bool:
-        """Whether what stood there is over: nothing runs there, or nothing was heard for long.
+        """Whether the calls established at the office are lost: it is not running, or silent for too long.
 
-        A refused connect proves that nothing runs. Connections that a machine left open when it went stay
-        open and silent, so they prove nothing; only a word that came a moment ago speaks against it.
+        A refused dial shows that nothing is listening. Open connections prove nothing, as those of a machine
+        that vanished stay open and silent; only a message received recently outweighs the refusal.
         """
         if self.dial_refused:
             return not self.connections or now - self.last_received >= REFUSAL_CONFIRMED_AFTER_MS
         return self.failures > 1 and now - self.last_received >= LOST_AFTER_MS
 
     def surplus_connections(self, now: float) -> list[int]:
-        """Idle connections to give back."""
-        idle = sorted(self.idle_connections(), key=lambda link: -link.idle_since)
-        old = [link.id for link in idle[SPARE_CONNECTIONS:] if now - link.idle_since >= IDLE_TIMEOUT_MS]
-        retired = [link for link in self.connections.values() if link.retired and not link.attempts]
-        return old + [link.id for link in retired if now - link.idle_since >= RETIRED_LINGER_MS]
+        """The numbers of idle and retired connections to close."""
+        idle = sorted(self.idle_connections(), key=lambda connection: -connection.idle_since)
+        old = [
+            connection.id
+            for connection in idle[SPARE_CONNECTIONS:]
+            if now - connection.idle_since >= IDLE_TIMEOUT_MS
+        ]
+        retired = [
+            connection
+            for connection in self.connections.values()
+            if connection.retired and not connection.attempts
+        ]
+        return old + [
+            connection.id for connection in retired if now - connection.idle_since >= RETIRED_LINGER_MS
+        ]
--- a/ospreybridge/access/releases.py
+++ b/ospreybridge/access/releases.py
@@ -1,8 +1,8 @@
-"""On which connection a caller is told that a call is over, and when it is told again. No I/O.
+"""Reliable delivery of releases (`stop` of an established call) to callers. No I/O.
 
-A release may go on any connection from callers, but not everyone who connects is one: a stranger takes it and
-does nothing. So the call's own connection comes first, then those that have had an answer, the one last used
-before others; what is not heard (`stopped`) goes out again on another, until it is heard or of no more use.
+A release may be sent on any connection from callers, but not everyone who connects is a caller, and others
+ignore it. So the connection of the call is preferred, then the most trusted and most recently active one. A
+release that isn't confirmed (`stopped`) is sent again on another connection until it is confirmed or too old.
 """
 
 from __future__ import annotations
@@ -11,39 +11,48 @@
 
 from ospreybridge.access.calls import Client
 
-RESEND_AFTER_MS = 250.0  # ms without `stopped`: three connections within the second that the rule gives
-MAX_AGE_MS = 9_000.0  # ms: past the rule's eight seconds nobody waits for it
+RESEND_AFTER_MS = 250.0  # allows three connections within the second that the platform's rule gives
+MAX_AGE_MS = 9_000.0  # by the platform's rule callers wait for eight seconds
 
 
 @dataclass(slots=True)
 class Release:
+    """One release that no caller has confirmed yet."""
+
     cause: int
     started_at: float
-    connection_id: int = 0  # where it was sent last; 0: nowhere yet
+    connection_id: int = 0  # where it was sent last; 0: not sent yet
     sent_at: float = 0.0
-    tried: set[int] = field(default_factory=set)
+    tried: set[int] = field(default_factory=set)  # connections that it was sent on
 
 
 class Releases:
+    """The unconfirmed releases, by uid of their call."""
+
     def __init__(self) -> None:
         self.unconfirmed: dict[str, Release] = {}
 
     def begin(self, now: float, uid: str, cause: int) -> Release:
-        found = self.unconfirmed.get(uid)
-        if found is None:
-            found = self.unconfirmed[uid] = Release(cause, now)
-        return found
+        """The release of a call, created if there is none."""
+        release = self.unconfirmed.get(uid)
+        if release is None:
+            release = self.unconfirmed[uid] = Release(cause, now)
+        return release
 
     def choose_client(
-        self, now: float, release: Release, own: int, clients: dict[int, Client]
+        self, now: float, release: Release, preferred_id: int, clients: dict[int, Client]
     ) -> Client | None:
-        """The connection it goes out on now; None while there is none that may be a caller's."""
-        client = clients.get(own)
-        if client is None or own in release.tried or not client.trust:
-            # A connection that was tried counts again once all were: better twice than never.
+        """The client to send a release to, recorded in it; None while no client has proven to be a caller."""
+        client = clients.get(preferred_id)
+        if client is None or preferred_id in release.tried or not client.trust:
+            # Once all connections were tried, they are used again: the release may arrive twice, but does.
             client = max(
-                (one for one in clients.values() if one.trust),
-                key=lambda one: (one.connection_id not in release.tried, one.trust, one.last_active),
+                (other for other in clients.values() if other.trust),
+                key=lambda other: (
+                    other.connection_id not in release.tried,
+                    other.trust,
+                    other.last_active,
+                ),
                 default=None,
             )
         if client is not None:
@@ -52,16 +61,19 @@
         return client
 
     def confirm(self, uid: str) -> None:
+        """The caller sent `stopped`."""
         self.unconfirmed.pop(uid, None)
 
-    def due(self, now: float, closed: int = 0) -> list[tuple[str, Release]]:
-        """What has to go out (again): not heard in time, or sent on the connection that just closed."""
-        for uid in [uid for uid, one in self.unconfirmed.items() if now - one.started_at > MAX_AGE_MS]:
+    def due(self, now: float, closed_id: int = 0) -> list[tuple[str, Release]]:
+        """Releases to send (again): unconfirmed for too long, or sent on the connection that just closed."""
+        for uid in [
+            uid for uid, release in self.unconfirmed.items() if now - release.started_at > MAX_AGE_MS
+        ]:
             del self.unconfirmed[uid]
         return [
-            (uid, one)
-            for uid, one in self.unconfirmed.items()
-            if (closed and one.connection_id == closed)
-            or not one.connection_id
-            or now - one.sent_at >= RESEND_AFTER_MS
+            (uid, release)
+            for uid, release in self.unconfirmed.items()
+            if (closed_id and release.connection_id == closed_id)
+            or not release.connection_id
+            or now - release.sent_at >= RESEND_AFTER_MS
         ]
--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -1,8 +1,10 @@
-"""The platform's call server without I/O: its messages in, the module's decisions, its messages out.
+"""The platform's call server without I/O: messages of clients, offices, peers and the journal service.
 
-A call's way: `launch` of a client -> checked -> the module -> `launch` to an office -> `running` -> `running`
-to the client: it stands -> `stop` of either side. What concerns the choice of a way, another attempt, waiting
-and refusing is decided by the module alone; this file carries it out, in the step in which it was decided.
+A call's life: `launch` from a client, validated -> the controller -> `launch` to an office -> `running` from
+the office -> `running` to the client (established) -> `stop` from either side. The controller alone chooses
+routes and decides on further attempts, waiting and refusing; this module carries out each decision at once.
+
+All times are milliseconds of the event loop's clock, passed in as `now`.
 """
 
 from __future__ import annotations
@@ -27,17 +29,18 @@
 from ospreybridge.signalling.errors import MessageError
 from ospreybridge.signalling.jsonl import Message
 
-REFUSAL_CAUSES = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER_EXPIRY)  # trying again is harmless
-RESET_CAUSE = causes.TEMPORARY_FAILURE  # an office's word for a set-up or a call that was cut
-MOOT_CAUSE = causes.TIMER_EXPIRY  # an office's word for a set-up that never left
-ANSWER_SLACK_MS = 50.0  # ms by which the platform lengthens each of the rules' times
-MAINTENANCE_INTERVAL_MS = 50.0  # ms between looks at connections
-MAX_ESTABLISHED = 20_000  # calls that stand: some hundred octets each
-MAX_EARLY_RELEASES = 4_000  # releases of calls not known (yet), after a restart
-MAX_DATAGRAM_BYTES = 256  # octets
-STOP_ACCEPT_MS = 700.0  # ms after SIGTERM in which clients are still taken in and served as usual
-STOP_ACCEPT_TRANSIT_MS = 2_500.0  # ms after SIGTERM in which calls in transit, which go on coming, are served
-STOP_FINAL_MS = 3_500.0  # ms after SIGTERM: the last answers, before the earliest SIGKILL
+REFUSAL_CAUSES = (causes.NO_CIRCUIT, causes.CONGESTION, causes.TIMER_EXPIRY)  # safe to retry
+RESET_CAUSE = causes.TEMPORARY_FAILURE  # sent by an office for a set-up or call that was cut
+MOOT_CAUSE = causes.TIMER_EXPIRY  # sent by an office for a set-up that it never passed on
+ANSWER_SLACK_MS = 50.0  # the platform itself allows this much beyond each time limit of its rules
+MAINTENANCE_INTERVAL_MS = 50.0
+MAX_ESTABLISHED = 20_000  # each takes a few hundred octets
+MAX_EARLY_RELEASES = 4_000  # releases of calls that no caller has named since a restart
+MAX_DATAGRAM_BYTES = 256
+# The phases of a shutdown, in milliseconds after SIGTERM.
+STOP_ACCEPT_MS = 700.0  # until then new calls are served as usual
+STOP_ACCEPT_TRANSIT_MS = 2_500.0  # until then transit calls are served: other exchanges still send them
+STOP_FINAL_MS = 3_500.0  # pending calls are refused then, before the earliest possible SIGKILL
 NOTE_BY_WORD = {
     "no_path": interface.Note.NO_CIRCUIT,
     "sent_back": interface.Note.TURNED_BACK,
@@ -45,21 +48,23 @@
     "queue_long": interface.Note.PROCESSOR_FULL,
     "line_taken": interface.Note.LINES_BUSY,
 }
-REMOTE_BUSY_WAIT_MS = (
-    1.0  # ms: a wait that tells a full processor beyond from a circuit beyond, where none is told
-)
+# Reported as the wait of an `end_queue_long` that gives none: by a wait above 0 the controller knows that the
+# far processor is overloaded rather than out of circuits.
+REMOTE_BUSY_WAIT_MS = 1.0
 
 
 class Transport(Protocol):
-    """What the front carries out. Connections are numbers, given by this side."""
+    """The I/O that the server needs. Connection numbers are assigned by the server, also to accepted ones."""
 
-    def dial(self, conn: int, address: Address) -> None: ...
-    def send(self, conn: int, data: bytes) -> None: ...
-    def close(self, conn: int, reason: str) -> None: ...
-    def send_datagram(self, to: Address, body: bytes) -> None: ...
+    def dial(self, connection_id: int, address: Address) -> None: ...
+    def send(self, connection_id: int, data: bytes) -> None: ...
+    def close(self, connection_id: int, reason: str) -> None: ...
+    def send_datagram(self, destination: Address, body: bytes) -> None: ...
 
 
 class PlatformServer:
+    """Calls, attempts, connections and the office list of one call server."""
+
     def __init__(
         self,
         config: PlatformConfig,
@@ -70,7 +75,7 @@
         log: Callable[..., None] | None = None,
         trace: Callable[..., None] | None = None,
     ) -> None:
-        """`unix`: Unix milliseconds at zero of the clock that `now` is of; `trace` is told each message."""
+        """`unix_offset_ms`: Unix time at zero of the clock of `now`; `trace` is called for each message."""
         self.config, self.timers, self.transport, self.log, self.trace = config, timers, transport, log, trace
         self.settings = config.settings
         self.controller = Controller(self.settings, config.seed)
@@ -81,18 +86,18 @@
         self.peer_numbers = {address: number for number, address in enumerate(config.peers)}
         self.clients: dict[int, Client] = {}
         self.pools: dict[int, ConnectionPool] = {}
-        self.pool_by_connection: dict[int, ConnectionPool] = {}  # by connection, open or being opened
-        self.calls_by_ref: dict[int, Call] = {}  # what the module may speak of
+        self.pool_by_connection: dict[int, ConnectionPool] = {}  # open connections and those being opened
+        self.calls_by_ref: dict[int, Call] = {}  # calls that the controller's actions may refer to
         self.pending: dict[str, Call] = {}
         self.established: dict[str, Call] = {}
         self.established_by_office: dict[int, dict[str, Call]] = {}
         self.releases = Releases()
-        self.early_releases: OrderedDict[str, int] = OrderedDict()  # releases of calls not known: cause
-        self.open_probes: dict[str, tuple[int, float]] = {}  # probes: office, when sent
+        self.early_releases: OrderedDict[str, int] = OrderedDict()  # uid -> cause
+        self.open_probes: dict[str, tuple[int, float]] = {}  # uid -> office, time sent
         self.events: deque[interface.Event] = deque()
         self.handling_events = False
         self.last_ref = self.last_connection_id = 0
-        self.stopping_since: float | None = None  # when SIGTERM came
+        self.stopping_since: float | None = None  # time of SIGTERM
         self.finals: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
         for frame in config.known_events:
@@ -102,38 +107,39 @@
     # -- clients
 
     def client_connected(self, now: float) -> int | None:
-        """The number of a connection that came in; None where it is to be closed at once."""
+        """Assigns a number to an accepted connection; None if the caller has to close it at once."""
         while self.admission.is_full(len(self.clients)):
-            goes = self.admission.client_to_evict(self.clients.values())
-            if goes is None:
+            evicted = self.admission.client_to_evict(self.clients.values())
+            if evicted is None:
                 self.counts["clients turned away"] += 1
                 return None
             self.counts["clients closed for room"] += 1
-            self.transport.close(goes.connection_id, "room for another")
-            self.client_disconnected(now, goes.connection_id)
+            self.transport.close(evicted.connection_id, "evicted for a new connection")
+            self.client_disconnected(now, evicted.connection_id)
         self.last_connection_id += 1
         self.clients[self.last_connection_id] = Client(self.last_connection_id, now, now)
         return self.last_connection_id
 
-    def client_line(self, now: float, conn: int, line: bytes) -> None:
-        client = self.clients.get(conn)
+    def client_line(self, now: float, connection_id: int, line: bytes) -> None:
+        """Handles one line (a JSON message without its line feed) from a client."""
+        client = self.clients.get(connection_id)
         if client is None:
             return
         try:
             message = jsonl.decode(line)
         except MessageError as error:
-            self.client_unreadable(now, conn, str(error))
+            self.client_unreadable(now, connection_id, str(error))
             return
         client.last_active = now
         if self.trace is not None:
-            self._trace_message("client", conn, message)
+            self._trace_message("client", connection_id, message)
         if message.kind == jsonl.LAUNCH:
             self._handle_set_up(now, client, message)
         elif message.kind == jsonl.STOP:
             self._handle_caller_stop(now, client, message)
         elif message.kind == jsonl.CHECK:
             self._mark_valid(now, client)
-            self._send(conn, Message(jsonl.CHECKED, message.uid, {}, 1))
+            self._send(connection_id, Message(jsonl.CHECKED, message.uid, {}, 1))
         elif message.kind == jsonl.STOPPED:
             if message.uid in self.releases.unconfirmed:
                 self.releases.confirm(message.uid)
@@ -141,44 +147,46 @@
         elif message.kind == jsonl.STAGING:
             pass
         else:
-            self.client_unreadable(now, conn, f"{message.kind}: not a message of a caller")
+            self.client_unreadable(now, connection_id, f"{message.kind}: not a message of a caller")
 
-    def client_unreadable(self, now: float, conn: int, why: str) -> None:
-        """What can't be read on ends its connection: nothing after it would mean anything."""
+    def client_unreadable(self, now: float, connection_id: int, reason: str) -> None:
+        """Closes a client's connection after invalid input: what follows can't be trusted."""
         self.counts["clients unreadable"] += 1
-        self.transport.close(conn, why)
-        self.client_disconnected(now, conn)
+        self.transport.close(connection_id, reason)
+        self.client_disconnected(now, connection_id)
 
-    def client_disconnected(self, now: float, conn: int) -> None:
-        client = self.clients.pop(conn, None)
+    def client_disconnected(self, now: float, connection_id: int) -> None:
+        """Drops the client's pending calls and sends releases that it didn't confirm to another client."""
+        client = self.clients.pop(connection_id, None)
         if client is None:
             return
         for call in list(client.pending_calls.values()):
             self._caller_left(now, call)
-        for uid, release in self.releases.due(now, conn):
+        for uid, release in self.releases.due(now, connection_id):
             self._send_release(now, uid, release)
         self._process_events(now)
 
     def _mark_valid(self, now: float, client: Client) -> None:
-        """Something sound came: what no caller could be told yet may go here."""
+        """Records a client's first valid message; releases that had no client to go to are sent now."""
         if client.trust == calls.TRUST_UNKNOWN:
             client.trust = calls.TRUST_VALID_MESSAGE
             for uid, release in self.releases.due(now):
                 self._send_release(now, uid, release)
 
     def _handle_set_up(self, now: float, client: Client, message: Message) -> None:
+        """Validates a set-up and passes it to the controller, or answers it at once."""
         uid = message.uid
         try:
-            setup = self.set_up_parser.parse(message)
+            set_up = self.set_up_parser.parse(message)
         except MessageError as error:
             self._reject_set_up(now, client, uid, str(error))
             return
         if uid in self.pending or uid in self.established:
-            if setup.current_office is None:
+            if set_up.current_office is None:
                 self._reject_set_up(now, client, uid, "uid: of a call that is open")
             return
-        if setup.current_office is not None:
-            self._restore_established(now, client, uid, setup.current_office)
+        if set_up.current_office is not None:
+            self._restore_established(now, client, uid, set_up.current_office)
             return
         if not self.admission.accepts_set_up(client, len(self.pending)):
             self.counts["over the most open"] += 1
@@ -186,68 +194,71 @@
             return
         self._mark_valid(now, client)
         self.last_ref = self.last_ref % 0xFFFFFFFF + 1
-        kind = self.settings.classes[setup.class_index]
+        call_class = self.settings.classes[set_up.class_index]
         call = Call(
             self.last_ref,
             uid,
-            kind.name,
+            call_class.name,
             str(message.meta["key"]),
             message.body,
             client.connection_id,
-            now + setup.time_left,
-            setup.transit,
+            now + set_up.time_left,
+            set_up.transit,
         )
         self.calls_by_ref[call.ref] = self.pending[uid] = client.pending_calls[uid] = call
-        taken = STOP_ACCEPT_TRANSIT_MS if setup.transit else STOP_ACCEPT_MS
-        if self.stopping_since is not None and now - self.stopping_since > taken:
+        accept_ms = STOP_ACCEPT_TRANSIT_MS if set_up.transit else STOP_ACCEPT_MS
+        if self.stopping_since is not None and now - self.stopping_since > accept_ms:
             self._send_final_stop(now, call, causes.CONGESTION, {})
             return
         request = interface.Request(
             call.ref,
-            setup.class_index,
-            setup.destination,
+            set_up.class_index,
+            set_up.destination,
             call.expires_at,
-            setup.width,
-            setup.tenant_index,
-            setup.via,
-            setup.number,
+            set_up.width,
+            set_up.tenant_index,
+            set_up.via,
+            set_up.called_number,
             0.0,
             False,
-            setup.transit,
-            setup.after_cut,
+            set_up.transit,
+            set_up.after_cut,
         )
         self.events.append(request)
         self._process_events(now)
 
-    def _reject_set_up(self, now: float, client: Client, uid: str, why: str) -> None:
-        """A set-up that makes no sense gets its refusal; one under the id of an open call ends that too.
+    def _reject_set_up(self, now: float, client: Client, uid: str, reason: str) -> None:
+        """Refuses an invalid set-up; if it reuses the id of this client's pending call, that call ends too.
 
-        On the connection of the open call a `stop` would be taken for that call's answer, so it is: the two
-        can't be told apart, and neither may stand.
+        The client can't tell which of the two set-ups a `stop` under their id answers, so it answers both.
         """
         self.counts["set-ups turned away"] += 1
         call = client.pending_calls.get(uid)
         if call is not None:
             self._caller_left(now, call)
-        self._send(client.connection_id, Message(jsonl.STOP, uid, {"note": why}, causes.PROTOCOL_ERROR))
+        self._send(client.connection_id, Message(jsonl.STOP, uid, {"note": reason}, causes.PROTOCOL_ERROR))
         self._process_events(now)
 
-    def _restore_established(self, now: float, client: Client, uid: str, office: int) -> None:
+    def _restore_established(self, now: float, client: Client, uid: str, office_id: int) -> None:
+        """Registers a call that a caller reports as established, after a restart of this process."""
         self._mark_valid(now, client)
         cause = self.early_releases.pop(uid, None)
         if cause is not None:
             self._begin_release(now, uid, cause, client.connection_id)
             return
-        if office not in self.office_list.by_id or len(self.established) >= MAX_ESTABLISHED:
-            self._begin_release(now, uid, RESET_CAUSE, client.connection_id)  # what stood there is over
+        if office_id not in self.office_list.by_id or len(self.established) >= MAX_ESTABLISHED:
+            self._begin_release(
+                now, uid, RESET_CAUSE, client.connection_id
+            )  # no such office, or too many calls
             return
         call = Call(
-            0, uid, "", "", None, client.connection_id, 0.0, stage=Stage.ESTABLISHED, office_id=office
+            0, uid, "", "", None, client.connection_id, 0.0, stage=Stage.ESTABLISHED, office_id=office_id
         )
         self._add_established(call)
         self.counts["told to stand"] += 1
 
     def _handle_caller_stop(self, now: float, client: Client, message: Message) -> None:
+        """Ends a call for its caller: a pending one only on its own connection, an established one on any."""
         self._mark_valid(now, client)
         call = self.pending.get(message.uid)
         if call is not None:
@@ -265,7 +276,7 @@
         self._send(client.connection_id, Message(jsonl.STOPPED, message.uid))
 
     def _caller_left(self, now: float, call: Call) -> None:
-        """Nobody waits for this answer any more; an attempt that is out is called off by the module."""
+        """Closes a pending call without an answer; the controller cancels an attempt that is still open."""
         if call.stage is not Stage.PENDING:
             return
         self.finals["caller left"] += 1
@@ -277,6 +288,7 @@
     # -- final answers and ends
 
     def _close_set_up(self, call: Call) -> None:
+        """Removes a call from the pending ones, both here and at its client."""
         call.stage, call.body = Stage.ENDED, None
         self.pending.pop(call.uid, None)
         client = self.clients.get(call.client_id)
@@ -284,13 +296,14 @@
             client.pending_calls.pop(call.uid, None)
 
     def _send_final_stop(self, now: float, call: Call, cause: int, meta: dict[str, jsonl.Value]) -> None:
-        """The one final answer of a call that does not stand."""
+        """Answers a call that was not established: the only final answer that it gets."""
         self._close_set_up(call)
         self.calls_by_ref.pop(call.ref, None)
         self.finals["refused" if cause in REFUSAL_CAUSES else "failed"] += 1
         self._send(call.client_id, Message(jsonl.STOP, call.uid, meta, cause))
 
     def _end_unanswered(self, now: float, action: interface.Refuse | interface.Fail) -> None:
+        """Answers a call that the controller gave up, with a cause and the time after which to retry."""
         call = self.calls_by_ref.get(action.ref)
         if call is None or call.stage is not Stage.PENDING:
             return
@@ -309,49 +322,52 @@
     def _end_established(
         self, now: float, call: Call, result: interface.Result, report: interface.Report | None = None
     ) -> None:
-        """A call that stood is over; the module is told where it knows of it."""
+        """Removes an established call; reports it to the controller unless it was restored."""
         self.established.pop(call.uid, None)
-        at = self.established_by_office.get(call.office_id)
-        if at is not None:
-            at.pop(call.uid, None)
-            if not at:
+        calls_there = self.established_by_office.get(call.office_id)
+        if calls_there is not None:
+            calls_there.pop(call.uid, None)
+            if not calls_there:
                 del self.established_by_office[call.office_id]
         call.stage = Stage.ENDED
         self.finals["ended" if result is interface.Result.OK else "cut"] += 1
         if self.calls_by_ref.pop(call.ref, None) is not None:
-            took = now - call.attempt_started_at
+            elapsed = now - call.attempt_started_at
             self.events.append(
                 interface.Outcome(
-                    call.ref, call.attempt_count - 1, call.office_id, result, took, True, report=report
+                    call.ref, call.attempt_count - 1, call.office_id, result, elapsed, True, report=report
                 )
             )
 
-    def _begin_release(self, now: float, uid: str, cause: int, conn: int = 0) -> None:
-        """Tells the callers that a call is over: on its own connection, else where it will be heard."""
-        self._send_release(now, uid, self.releases.begin(now, uid, cause), conn)
+    def _begin_release(self, now: float, uid: str, cause: int, connection_id: int = 0) -> None:
+        """Begins to report a call's end to its caller: on the given connection if usable, else another."""
+        self._send_release(now, uid, self.releases.begin(now, uid, cause), connection_id)
 
-    def _send_release(self, now: float, uid: str, release: Release, conn: int = 0) -> None:
-        client = self.releases.choose_client(now, release, conn, self.clients)
+    def _send_release(self, now: float, uid: str, release: Release, connection_id: int = 0) -> None:
+        client = self.releases.choose_client(now, release, connection_id, self.clients)
         if client is not None:
             self._send(client.connection_id, Message(jsonl.STOP, uid, {}, release.cause))
 
-    def _end_office_calls(self, now: float, office: int, why: str) -> None:
-        """What stood there is over: its callers are told, and the module. Old connections are of no use."""
-        for conn in self.pools[office].connections if office in self.pools else ():
-            self.pools[office].retire(conn, now)
-        calls = list(self.established_by_office.get(office, {}).values())
-        if calls:
+    def _end_office_calls(self, now: float, office_id: int, reason: str) -> None:
+        """Ends all calls established at a lost office and retires the connections to it."""
+        for connection_id in self.pools[office_id].connections if office_id in self.pools else ():
+            self.pools[office_id].retire(connection_id, now)
+        lost = list(self.established_by_office.get(office_id, {}).values())
+        if lost:
             self.log_event(
-                "standing calls lost", office=frames.office_name(office), calls=len(calls), reason=why
+                "standing calls lost", office=frames.office_name(office_id), calls=len(lost), reason=reason
             )
-        for call in calls:
+        for call in lost:
             self._end_established(now, call, interface.Result.RESET)
             self._begin_release(now, call.uid, RESET_CAUSE, call.client_id)
 
-    # -- the module
+    # -- the controller
 
     def _process_events(self, now: float) -> None:
-        """Tells the module all that happened, in order, and carries out what it decides at once."""
+        """Passes queued events to the controller in order and executes its actions.
+
+        Actions may queue further events; the guard keeps a nested call from handling them out of order.
+        """
         if self.handling_events:
             return
         self.handling_events = True
@@ -377,21 +393,23 @@
             self._probe(now, action.office)
         elif type(action) is interface.Remark:
             self.log_event("remark", text=action.text)
-        # Follow and Lookup: the feed follows always. Close: the pools give back what is idle.
+        # Subscribe and Lookup: the journal is always followed. Close: the pools close what is idle.
 
     def _timer_due(self, now: float, label: int) -> None:
         self.events.append(interface.TimerExpired(label))
         self._process_events(now)
 
     def _send_to_peer(self, action: interface.NotifyPeers) -> None:
-        to = self.config.peers_all if action.peer is None else None
+        """Sends a datagram to one peer or, without a number, to the address of all peers."""
+        destination = self.config.peers_all if action.peer is None else None
         if action.peer is not None and 0 <= action.peer < len(self.config.peers):
-            to = self.config.peers[action.peer]
-        if to is not None and len(action.body) <= MAX_DATAGRAM_BYTES:
+            destination = self.config.peers[action.peer]
+        if destination is not None and len(action.body) <= MAX_DATAGRAM_BYTES:
             self.counts["datagrams out"] += 1
-            self.transport.send_datagram(to, action.body)
+            self.transport.send_datagram(destination, action.body)
 
     def datagram_received(self, now: float, source: Address, body: bytes) -> None:
+        """Passes a peer's datagram to the controller; drops it if the source isn't a configured peer."""
         sender = self.peer_numbers.get(source)
         if sender is None or not body or len(body) > MAX_DATAGRAM_BYTES:
             self.counts["datagrams dropped"] += 1
@@ -402,40 +420,42 @@
     # -- attempts
 
     def _start_attempt(self, now: float, action: interface.Send) -> None:
+        """Queues an attempt for a connection to the office that the controller chose."""
         call = self.calls_by_ref.get(action.ref)
         if call is None or call.stage is not Stage.PENDING or call.open_attempt is not None:
             self.log_event("attempt for no call", ref=action.ref)
             return
-        ends = min(now + max(1.0, action.timeout), call.expires_at)
-        attempt = Attempt(call, call.attempt_count, action.office, now, ends)
+        deadline = min(now + max(1.0, action.timeout), call.expires_at)
+        attempt = Attempt(call, call.attempt_count, action.office, now, deadline)
         call.attempt_count += 1
         call.open_attempt = attempt
         pool = self.pools.get(action.office)
         if pool is None or self.office_list.is_barred(now, action.office, self.settings.rules.drain_grace):
             self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
             return
-        attempt.timer = self.timers.schedule(ends, self._attempt_timed_out, attempt)
+        attempt.timer = self.timers.schedule(deadline, self._attempt_timed_out, attempt)
         pool.waiting.append(attempt)
         self._serve_waiting(now, pool)
 
     def _send_attempt(
-        self, now: float, pool: ConnectionPool, link: OfficeConnection, attempt: Attempt
+        self, now: float, pool: ConnectionPool, connection: OfficeConnection, attempt: Attempt
     ) -> None:
+        """Sends the set-up on a connection, unless the office began to drain while the attempt waited."""
         call = attempt.call
         if self.office_list.is_barred(now, attempt.office_id, self.settings.rules.drain_grace):
             self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
             return
-        attempt.connection_id = link.id
-        link.attempts[call.uid] = attempt
-        left = max(1, int(attempt.deadline - now))
-        meta: dict[str, jsonl.Value] = {"class": call.class_name, "key": call.key, "left": str(left)}
-        self._send(link.id, Message(jsonl.LAUNCH, call.uid, meta, body=call.body))
+        attempt.connection_id = connection.id
+        connection.attempts[call.uid] = attempt
+        time_left = max(1, int(attempt.deadline - now))
+        meta: dict[str, jsonl.Value] = {"class": call.class_name, "key": call.key, "left": str(time_left)}
+        self._send(connection.id, Message(jsonl.LAUNCH, call.uid, meta, body=call.body))
 
     def _attempt_timed_out(self, now: float, attempt: Attempt) -> None:
-        """No answer in time: it is given up at the office before the module hears of it."""
+        """Ends an attempt without an answer; the office gets its `stop` before the controller can retry."""
         if attempt.call.open_attempt is not attempt:
             return
-        if not attempt.connection_id:  # it never left
+        if not attempt.connection_id:  # still waiting for a connection
             self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
         else:
             self._send(
@@ -446,6 +466,7 @@
         self._process_events(now)
 
     def _cancel_attempt(self, now: float, action: interface.Cancel) -> None:
+        """Ends the open attempt of a call if it is still the one that the controller means."""
         call = self.calls_by_ref.get(action.ref)
         attempt = call.open_attempt if call is not None else None
         if attempt is None or attempt.number != action.attempt:
@@ -467,15 +488,17 @@
         wait: float = 0.0,
         report: interface.Report | None = None,
     ) -> None:
+        """Reports the outcome of an attempt that did not establish its call to the controller."""
         call = attempt.call
         self._detach_attempt(now, attempt)
         call.open_attempt = None
-        ended = call.stage is Stage.ENDED
-        if ended:
+        call_ended = call.stage is Stage.ENDED
+        if call_ended:
             self.calls_by_ref.pop(call.ref, None)
-        took = now - attempt.started_at
+        elapsed = now - attempt.started_at
         if report is None and note is not interface.Note.NO_CIRCUIT:
-            # The module counts a circuit off at each send; one that was not taken brings no news of it.
+            # The controller subtracts a circuit at each Send, and the office sends no update for a circuit
+            # that was never taken: without the last load the controller would count it as taken.
             pool = self.pools.get(attempt.office_id)
             report = (
                 self._parse_load({"load": pool.last_load}) if pool is not None and pool.last_load else None
@@ -483,12 +506,12 @@
         self.counts[f"attempts {result.name.lower()}"] += 1
         self.events.append(
             interface.Outcome(
-                call.ref, attempt.number, attempt.office_id, result, took, ended, note, wait, report
+                call.ref, attempt.number, attempt.office_id, result, elapsed, call_ended, note, wait, report
             )
         )
 
     def _detach_attempt(self, now: float, attempt: Attempt) -> None:
-        """Takes an attempt off its connection, which may carry the next."""
+        """Removes an attempt from its connection, which can then carry a waiting one."""
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
@@ -499,20 +522,20 @@
             if attempt in pool.waiting:
                 pool.waiting.remove(attempt)
             return
-        link = pool.connections.get(attempt.connection_id)
-        if link is not None and link.attempts.pop(attempt.call.uid, None) is not None:
-            link.idle_since = now
+        connection = pool.connections.get(attempt.connection_id)
+        if connection is not None and connection.attempts.pop(attempt.call.uid, None) is not None:
+            connection.idle_since = now
             self._serve_waiting(now, pool)
 
     def _serve_waiting(self, now: float, pool: ConnectionPool) -> None:
-        """Set-ups that wait for a connection get one, in their order, or have one opened."""
+        """Sends waiting set-ups in order on free connections, or opens a connection for them."""
         while pool.waiting:
-            link, opens = pool.choose_connection(
+            connection, dial_needed = pool.choose_connection(
                 len(self.pool_by_connection) < self.admission.max_office_connections
             )
-            if link is not None:
-                self._send_attempt(now, pool, link, pool.waiting.popleft())
-            elif opens:
+            if connection is not None:
+                self._send_attempt(now, pool, connection, pool.waiting.popleft())
+            elif dial_needed:
                 self._dial(now, pool)
             else:
                 return
@@ -520,28 +543,33 @@
     # -- offices
 
     def _dial(self, now: float, pool: ConnectionPool) -> None:
+        """Starts to open a connection to the pool's office."""
         office = self.office_list.by_id.get(pool.office_id)
         if office is None:
             return
         self.last_connection_id += 1
-        conn = self.last_connection_id
-        pool.dialling.add(conn)
+        connection_id = self.last_connection_id
+        pool.dialling.add(connection_id)
         pool.dial_started(now)
-        self.pool_by_connection[conn] = pool
-        self.transport.dial(conn, office.address)
+        self.pool_by_connection[connection_id] = pool
+        self.transport.dial(connection_id, office.address)
 
-    def office_connected(self, now: float, conn: int) -> None:
-        pool = self.pool_by_connection.get(conn)
+    def office_connected(self, now: float, connection_id: int) -> None:
+        """A connection that was being opened is usable."""
+        pool = self.pool_by_connection.get(connection_id)
         if pool is None:
-            self.transport.close(conn, "its office is gone")
+            self.transport.close(connection_id, "office removed from the list")
             return
-        pool.dial_succeeded(now, conn)
+        pool.dial_succeeded(now, connection_id)
         self._serve_waiting(now, pool)
         self._process_events(now)
 
-    def office_dial_failed(self, now: float, conn: int, refused: bool) -> None:
-        """A connection could not be had: nothing that waited for it ran."""
-        pool = self.pool_by_connection.pop(conn, None)
+    def office_dial_failed(self, now: float, connection_id: int, refused: bool) -> None:
+        """A connection could not be opened: attempts beyond the remaining dials end unsent.
+
+        `refused`: the office's host refused it, as opposed to a time-out or another error.
+        """
+        pool = self.pool_by_connection.pop(connection_id, None)
         if pool is None:
             return
         if not pool.failures:
@@ -552,7 +580,7 @@
                 open=len(pool.connections),
                 standing=len(self.established_by_office.get(pool.office_id, ())),
             )
-        pool.dial_failed(now, conn, refused)
+        pool.dial_failed(now, connection_id, refused)
         self.counts["connects failed"] += 1
         while len(pool.waiting) > len(pool.dialling):
             self._end_attempt(now, pool.waiting[0], interface.Result.CONNECT_FAILED)
@@ -560,49 +588,52 @@
         self._process_events(now)
 
     def _check_office_lost(self, now: float, pool: ConnectionPool) -> None:
+        """Ends the calls established at an office that counts as lost."""
         if pool.office_id in self.established_by_office and pool.is_lost(now):
             self._end_office_calls(
                 now, pool.office_id, "refuses connections" if pool.dial_refused else "silent"
             )
 
-    def office_line(self, now: float, conn: int, line: bytes) -> None:
-        pool = self.pool_by_connection.get(conn)
-        link = pool.connections.get(conn) if pool is not None else None
-        if pool is None or link is None:
+    def office_line(self, now: float, connection_id: int, line: bytes) -> None:
+        """Handles one line from an office; invalid input closes the connection."""
+        pool = self.pool_by_connection.get(connection_id)
+        connection = pool.connections.get(connection_id) if pool is not None else None
+        if pool is None or connection is None:
             return
         pool.last_received = now
         try:
-            self._handle_office_message(now, pool, link, jsonl.decode(line))
+            self._handle_office_message(now, pool, connection, jsonl.decode(line))
         except MessageError as error:
             self.counts["offices unreadable"] += 1
             self.log_event("office unreadable", office=frames.office_name(pool.office_id), reason=str(error))
-            self.office_disconnected(now, conn)
-            self.transport.close(conn, str(error))
+            self.office_disconnected(now, connection_id)
+            self.transport.close(connection_id, str(error))
         self._process_events(now)
 
-    def office_disconnected(self, now: float, conn: int) -> None:
-        """A connection broke, or can't be read on: what was open on it ends as reset."""
-        pool = self.pool_by_connection.pop(conn, None)
+    def office_disconnected(self, now: float, connection_id: int) -> None:
+        """A connection broke or sent invalid input: the attempts open on it end as RESET."""
+        pool = self.pool_by_connection.pop(connection_id, None)
         if pool is None:
             return
-        link = pool.connections.pop(conn, None)
-        pool.dialling.discard(conn)
-        for attempt in list(link.attempts.values()) if link is not None else ():
+        connection = pool.connections.pop(connection_id, None)
+        pool.dialling.discard(connection_id)
+        for attempt in list(connection.attempts.values()) if connection is not None else ():
             self._end_attempt(now, attempt, interface.Result.RESET)
         self._process_events(now)
 
     def _handle_office_message(
-        self, now: float, pool: ConnectionPool, link: OfficeConnection, message: Message
+        self, now: float, pool: ConnectionPool, connection: OfficeConnection, message: Message
     ) -> None:
+        """MessageError if the message isn't one that an office may send."""
         kind, uid = message.kind, message.uid
         if self.trace is not None:
-            self._trace_message(frames.office_name(pool.office_id), link.id, message)
+            self._trace_message(frames.office_name(pool.office_id), connection.id, message)
         if kind == jsonl.USAGE:
             report = self._parse_load(message.meta)
-            if report is not None and pool.update_load(now, link, str(message.meta["load"])):
+            if report is not None and pool.update_load(now, connection, str(message.meta["load"])):
                 self.events.append(interface.Probed(pool.office_id, interface.Result.OK, 0.0, report))
         elif kind == jsonl.RUNNING:
-            attempt = link.attempts.get(uid)
+            attempt = connection.attempts.get(uid)
             if attempt is None:
                 self.counts["answers to no set-up"] += 1
                 return
@@ -610,20 +641,21 @@
                 raise MessageError("body: a description was expected")
             self._attempt_answered(now, attempt, message)
         elif kind == jsonl.STOP:
-            self._handle_office_stop(now, pool, link, message)
+            self._handle_office_stop(now, pool, connection, message)
         elif kind == jsonl.CHECKED:
-            office, sent = self.open_probes.pop(uid, (0, 0.0))
-            if office == pool.office_id:
+            office_id, sent_at = self.open_probes.pop(uid, (0, 0.0))
+            if office_id == pool.office_id:
                 result = interface.Result.OK if message.reason == 1 else interface.Result.ERROR
                 self.events.append(
-                    interface.Probed(office, result, now - sent, self._parse_load(message.meta))
+                    interface.Probed(office_id, result, now - sent_at, self._parse_load(message.meta))
                 )
         elif kind == jsonl.CHECK:
-            self._send(link.id, Message(jsonl.CHECKED, uid, {}, 1))
+            self._send(connection.id, Message(jsonl.CHECKED, uid, {}, 1))
         elif kind == jsonl.LAUNCH:
             raise MessageError("a set-up from an office")
 
     def _attempt_answered(self, now: float, attempt: Attempt, message: Message) -> None:
+        """Establishes the call and passes the answer to its client, unless the answer is too late."""
         call = attempt.call
         if now > call.expires_at + self.settings.rules.grace_to_answer + ANSWER_SLACK_MS:
             self._attempt_timed_out(now, attempt)
@@ -647,17 +679,18 @@
         )
 
     def _handle_office_stop(
-        self, now: float, pool: ConnectionPool, link: OfficeConnection, message: Message
+        self, now: float, pool: ConnectionPool, connection: OfficeConnection, message: Message
     ) -> None:
+        """Ends an attempt or an established call at the office's request."""
         uid, cause = message.uid, message.reason
         report = self._parse_load(message.meta)
-        attempt = link.attempts.get(uid)
+        attempt = connection.attempts.get(uid)
         if attempt is not None:
             result, note, wait = self._interpret_stop(message)
             attempt.call.last_cause = cause
             self._end_attempt(now, attempt, result, note, wait, report)
             return
-        self._send(link.id, Message(jsonl.STOPPED, uid))
+        self._send(connection.id, Message(jsonl.STOPPED, uid))
         call = self.established.get(uid)
         if call is not None and call.office_id == pool.office_id:
             self._end_established(
@@ -668,13 +701,13 @@
             )
             self._begin_release(now, uid, cause, call.client_id)
         elif call is None and uid not in self.pending:
-            # Perhaps a call that stood before this process started, and that its caller has not named yet.
+            # May be a call established before this process started that its caller has not reported yet.
             self.early_releases[uid] = cause
             if len(self.early_releases) > MAX_EARLY_RELEASES:
                 self.early_releases.popitem(last=False)
 
     def _interpret_stop(self, message: Message) -> tuple[interface.Result, interface.Note, float]:
-        """What an office's release before the answer says."""
+        """The result, note and wait (milliseconds) in an office's `stop` for an unanswered set-up."""
         cause, meta = message.reason, message.meta
         note = NOTE_BY_WORD.get(str(meta.get("note", "")), interface.Note.NONE)
         wait = max(0.0, jsonl.parse_number(meta["waited"], "waited")) if "waited" in meta else 0.0
@@ -689,49 +722,51 @@
         return interface.Result.RESET, note, wait
 
     def _parse_load(self, meta: dict[str, jsonl.Value]) -> interface.Report | None:
-        """The state of a group where a message has one; what is not told stays not told."""
-        told = jsonl.parse_extras(meta.get("load"))
-        if not told:
+        """The load report in a message, if it has one; columns that it leaves out stay unknown."""
+        load = jsonl.parse_extras(meta.get("load"))
+        if not load:
             return None
         values = tuple(
-            jsonl.parse_number(told[column], column) if column in told else -1.0
+            jsonl.parse_number(load[column], column) if column in load else -1.0
             for column in self.config.report_columns
         )
         return read_report(self.config.report_columns, values)
 
-    def _probe(self, now: float, office: int) -> None:
-        pool = self.pools.get(office)
-        link = pool.any_connection() if pool is not None else None
-        if link is None:
-            self.events.append(interface.Probed(office, interface.Result.CONNECT_FAILED))
+    def _probe(self, now: float, office_id: int) -> None:
+        """Sends a `check` to an office for the controller; the reply or a time-out is reported as Probed."""
+        pool = self.pools.get(office_id)
+        connection = pool.any_connection() if pool is not None else None
+        if connection is None:
+            self.events.append(interface.Probed(office_id, interface.Result.CONNECT_FAILED))
             return
         uid = f"{self.random.getrandbits(64):016x}"
-        self.open_probes[uid] = (office, now)
+        self.open_probes[uid] = (office_id, now)
         self.timers.schedule(now + self.settings.limits.dial_timeout, self._probe_timed_out, uid)
-        self._send(link.id, Message(jsonl.CHECK, uid))
+        self._send(connection.id, Message(jsonl.CHECK, uid))
 
     def _probe_timed_out(self, now: float, uid: str) -> None:
-        office, sent = self.open_probes.pop(uid, (0, 0.0))
-        if office:
-            self.events.append(interface.Probed(office, interface.Result.TIMEOUT, now - sent))
+        office_id, sent_at = self.open_probes.pop(uid, (0, 0.0))
+        if office_id:
+            self.events.append(interface.Probed(office_id, interface.Result.TIMEOUT, now - sent_at))
             self._process_events(now)
 
-    def _send_to_office(self, now: float, office: int, message: Message) -> None:
-        pool = self.pools.get(office)
-        link = pool.any_connection() if pool is not None else None
-        if link is not None:
-            self._send(link.id, message)
+    def _send_to_office(self, now: float, office_id: int, message: Message) -> None:
+        """Sends a message that belongs to no open attempt; it is lost if there is no connection."""
+        pool = self.pools.get(office_id)
+        connection = pool.any_connection() if pool is not None else None
+        if connection is not None:
+            self._send(connection.id, message)
 
-    # -- the list
+    # -- the office list
 
     def apply_list_event(self, now: float, frame: frames.Frame) -> None:
-        """One event of the journal service; FrameError where it can't be meant."""
-        starts = {office.id: office.started_at for office in self.office_list.by_id.values()}
+        """Applies one event of the journal service; FrameError if it is invalid."""
+        started_before = {office.id: office.started_at for office in self.office_list.by_id.values()}
         members = self.office_list.apply(now, frame)
         if members is None:
             return
         for office in list(self.office_list.by_id.values()):
-            if office.started_at != starts.get(office.id, office.started_at):
+            if office.started_at != started_before.get(office.id, office.started_at):
                 self._end_office_calls(now, office.id, "started again")
             if office.readiness is interface.Readiness.GONE:
                 self._remove_office(now, office.id)
@@ -742,66 +777,76 @@
         self.events.append(members)
         self._process_events(now)
 
-    def _remove_office(self, now: float, office: int) -> None:
-        """An office left the list: another may come at its address, so its connections end."""
-        pool = self.pools.get(office)
+    def _remove_office(self, now: float, office_id: int) -> None:
+        """Closes the connections to an office that left the list: another office may take its address.
+
+        An office with open attempts or established calls stays until the maintenance finds it unused.
+        """
+        pool = self.pools.get(office_id)
         if pool is None:
-            self.office_list.forget(office)
+            self.office_list.forget(office_id)
+            return
+        if office_id in self.established_by_office or any(
+            connection.attempts for connection in pool.connections.values()
+        ):
             return
-        if office in self.established_by_office or any(link.attempts for link in pool.connections.values()):
-            return  # looked at again by the upkeep
-        del self.pools[office]
-        self.office_list.forget(office)
+        del self.pools[office_id]
+        self.office_list.forget(office_id)
         for attempt in list(pool.waiting):
             self._end_attempt(now, attempt, interface.Result.CONNECT_FAILED)
-        for conn in [*pool.connections, *pool.dialling]:
-            self.pool_by_connection.pop(conn, None)
-            self.transport.close(conn, "its office is gone")
+        for connection_id in [*pool.connections, *pool.dialling]:
+            self.pool_by_connection.pop(connection_id, None)
+            self.transport.close(connection_id, "office removed from the list")
 
     # -- time
 
     def _maintain(self, now: float) -> None:
-        """Opens spare connections, gives idle ones back, closes silent clients, notices dead offices."""
+        """Periodic work: spare and idle connections, silent clients, lost offices, unconfirmed releases."""
         self.timers.schedule(now + MAINTENANCE_INTERVAL_MS, self._maintain)
-        taken = {
-            o.address for o in self.office_list.by_id.values() if o.readiness is not interface.Readiness.GONE
+        used_addresses = {
+            listed.address
+            for listed in self.office_list.by_id.values()
+            if listed.readiness is not interface.Readiness.GONE
         }
         for pool in list(self.pools.values()):
             office = self.office_list.by_id[pool.office_id]
             gone = office.readiness is interface.Readiness.GONE
             if gone:
-                if office.address in taken:
+                if office.address in used_addresses:
                     self._end_office_calls(now, pool.office_id, "another has its address")
                 self._remove_office(now, pool.office_id)
                 if pool.office_id not in self.pools:
                     continue
-            standing = pool.office_id in self.established_by_office and not (gone and office.address in taken)
+            has_calls = pool.office_id in self.established_by_office and not (
+                gone and office.address in used_addresses
+            )
             ready = office.readiness is interface.Readiness.READY
             if pool.needs_connection(
-                now, len(self.pool_by_connection) < self.admission.max_office_connections, ready, standing
+                now, len(self.pool_by_connection) < self.admission.max_office_connections, ready, has_calls
             ):
                 self._dial(now, pool)
             self._check_office_lost(now, pool)
-            for conn in pool.surplus_connections(now):
-                self.office_disconnected(now, conn)
-                self.transport.close(conn, "idle")
+            for connection_id in pool.surplus_connections(now):
+                self.office_disconnected(now, connection_id)
+                self.transport.close(connection_id, "idle")
             self._serve_waiting(now, pool)
         for client in self.admission.silent_clients(now, self.clients.values()):
             self.counts["clients mute"] += 1
-            self.transport.close(client.connection_id, "nothing said in time")
+            self.transport.close(client.connection_id, "no valid message in time")
             self.client_disconnected(now, client.connection_id)
         for uid, release in self.releases.due(now):
             self._send_release(now, uid, release)
         self._process_events(now)
 
     def stop(self, now: float) -> None:
-        """SIGTERM: calls are served as usual for a while, later ones refused, all pending ones answered."""
+        """Begins the shutdown (SIGTERM): calls are served for a while, later ones refused, all answered."""
         if self.stopping_since is None:
             self.stopping_since = now
             self.log_event("stopping", pending=len(self.pending), standing=len(self.established))
             self.timers.schedule(now + STOP_FINAL_MS, self._refuse_pending)
 
     def _refuse_pending(self, now: float) -> None:
+        """Cancels the open attempts and refuses all calls that are still pending at the end of a shutdown."""
         for call in list(self.pending.values()):
             if call.open_attempt is not None and call.open_attempt.connection_id:
                 self._send(
@@ -814,7 +859,7 @@
         self._process_events(now)
 
     def is_stopped(self, now: float) -> bool:
-        """Whether it may end: not before the last moment, as releases go on being passed."""
+        """Whether the process may exit. It uses its whole time, as it goes on passing releases on."""
         return (
             self.stopping_since is not None
             and now - self.stopping_since >= STOP_FINAL_MS
@@ -822,38 +867,40 @@
         )
 
     def office_figures(self, now: float) -> dict[str, dict[str, Any]]:
-        """By office, what the module believes beside what passed: free circuits and unanswered set-ups."""
-        found = {}
-        for office, pool in self.pools.items():
-            known = self.controller.offices.get(office)
-            out = sum(len(link.attempts) for link in pool.connections.values()) + len(pool.waiting)
-            found[frames.office_name(office)] = {
-                "state": known.state.name if known else "GONE",
-                "cell": known.cell if known else -1,
-                "free": known.free if known else None,
+        """By office name, the controller's state beside what was counted here, to log and compare."""
+        figures = {}
+        for office_id, pool in self.pools.items():
+            exchange = self.controller.offices.get(office_id)
+            open_attempts = sum(len(connection.attempts) for connection in pool.connections.values()) + len(
+                pool.waiting
+            )
+            figures[frames.office_name(office_id)] = {
+                "state": exchange.state.name if exchange else "GONE",
+                "cell": exchange.cell if exchange else -1,
+                "free": exchange.free if exchange else None,
                 "told": pool.last_load,
-                "window": round(known.window, 2) if known else None,
-                "pending": len(known.pending) if known else 0,
-                "out": out,
-                "standing": len(self.established_by_office.get(office, ())),
+                "window": round(exchange.window, 2) if exchange else None,
+                "pending": len(exchange.pending) if exchange else 0,
+                "out": open_attempts,
+                "standing": len(self.established_by_office.get(office_id, ())),
                 "links": len(pool.connections),
                 "heard": round(now - pool.last_received),
                 "failures": pool.failures,
             }
-        return found
+        return figures
 
-    # -- out
+    # -- sending and logging
 
-    def _send(self, conn: int, message: Message) -> None:
+    def _send(self, connection_id: int, message: Message) -> None:
         if self.trace is not None:
-            self._trace_message("to", conn, message)
-        self.transport.send(conn, jsonl.encode(message))
+            self._trace_message("to", connection_id, message)
+        self.transport.send(connection_id, jsonl.encode(message))
 
-    def _trace_message(self, source: str, conn: int, message: Message) -> None:
+    def _trace_message(self, source: str, connection_id: int, message: Message) -> None:
         if self.trace is not None and message.kind != jsonl.USAGE:
             self.trace(
                 source,
-                conn=conn,
+                conn=connection_id,
                 kind=message.kind,
                 ref=message.uid,
                 cause=message.reason,
@@ -861,5 +908,6 @@
             )
 
     def log_event(self, event: str, **fields: Any) -> None:
+        """Writes one log line if the server has a log."""
         if self.log is not None:
             self.log(event, **fields)
--- a/ospreybridge/daemon/__init__.py
+++ b/ospreybridge/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Puts the parts of one call server together; start, reload, drain, shut down."""
+"""The processes of call servers: start, reload, drain and shutdown."""
--- a/ospreybridge/daemon/daemon.py
+++ b/ospreybridge/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One call server as a process: the loop, the core, its front, signals, logs."""
+"""The process of one call server: event loop, call server, sockets, signals and logs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ospreybridge.settings.server import ServerSettings, load
 
 Log = Callable[..., None]
-# What a reload may change; the rest is the identity of the server and needs a restart.
+# Fields of ServerSettings that a reload may change; the others identify the server and need a restart.
 RELOADABLE = (
     "class_rules",
     "tenant_prefixes",
@@ -25,11 +25,14 @@
     "out_buffer",
     "answer_margin",
 )
-GC_THRESHOLDS = (50_000, 20, 1_000)  # allocations, young and middle collections before the next kind
-PENDING_SHARE = 0.6  # of the time to stop: until then pending calls may still be answered in the usual way
+# Allocations before a young collection, young ones before a middle one, middle ones before a full one.
+GC_THRESHOLDS = (50_000, 20, 1_000)
+PENDING_SHARE = 0.6  # of the time to stop: until then pending calls may still be answered
 
 
 class Daemon:
+    """Runs one call server until a signal stops it."""
+
     def __init__(
         self, settings: ServerSettings, log: Log, log_calls: bool = False, recorder: Recorder | None = None
     ) -> None:
@@ -42,23 +45,23 @@
         self.front = M3uaFront(self.loop, settings, self.core, log, recorder)
         self.exit_code = 0
 
-    def _log_without_calls(self, event: str, **given: object) -> None:
-        """Without call logs, what concerns no single call is still told."""
-        if "ref" not in given:
-            self.log(event, **given)
+    def _log_without_calls(self, event: str, **values: object) -> None:
+        """Logs an event unless it concerns a single call."""
+        if "ref" not in values:
+            self.log(event, **values)
 
     def run(self) -> int:
-        """Serves until SIGTERM or SIGINT; the exit code."""
+        """Serves until SIGTERM or SIGINT; returns the exit code."""
         self.loop.on_signals(
             {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload}
         )
-        at = {"plain": (self.settings.listen, self.front.port)}
+        listeners = {"plain": (self.settings.listen, self.front.port)}
         if self.settings.tls is not None:
-            at["tls"] = (self.settings.tls.listen, self.front.tls_port)
-        listens = {name: f"{address[0]}:{port}" for name, (address, port) in at.items() if address}
-        self.log("serving", exchange=self.settings.name, listen=listens or "nowhere")
-        # What stands for long is not walked through again and again: the call path makes no cycles, and a
-        # full collection over tens of thousands of standing calls would hold every set-up for that long.
+            listeners["tls"] = (self.settings.tls.listen, self.front.tls_port)
+        addresses = {name: f"{address[0]}:{port}" for name, (address, port) in listeners.items() if address}
+        self.log("serving", exchange=self.settings.name, listen=addresses or "nowhere")
+        # Long-lived objects are excluded from collections: calls create no reference cycles, and a full
+        # collection over tens of thousands of established calls would delay every set-up for its duration.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
@@ -68,18 +71,19 @@
         return self.exit_code
 
     def stop(self) -> None:
+        """Begins the shutdown: no new calls, then _drain."""
         if not self.core.stopping:
             self.front.stop_listening()
             self.core.stop(self.loop.now)
             self.loop.spawn(self._drain())
 
     def _drain(self) -> Task:
-        """Pending calls are answered, then what stands is released, then the associations are left."""
-        begun, within = self.loop.now, self.settings.stop_within
-        while self.core.pending_count() and self.loop.now - begun < PENDING_SHARE * within:
+        """Waits for pending calls, releases established ones, then ends the associations and the loop."""
+        started_at, stop_within = self.loop.now, self.settings.stop_within
+        while self.core.pending_count() and self.loop.now - started_at < PENDING_SHARE * stop_within:
             yield "sleep", 10.0
         self.core.release_all(self.loop.now)
-        while not self.core.all_released() and self.loop.now - begun < 0.95 * within:
+        while not self.core.all_released() and self.loop.now - started_at < 0.95 * stop_within:
             yield "sleep", 10.0
         if not self.core.all_released():
             self.log("circuits not released by the far end in time")
@@ -87,7 +91,7 @@
         self.loop.running = False
 
     def reload(self) -> None:
-        """Takes keys and the tables of the file anew, or says why not and keeps the old ones."""
+        """Reloads credentials and the settings file; invalid settings are logged and the old ones kept."""
         if self.front.credentials is not None:
             self.front.check_credentials(self.front.credentials, force=True)
         try:
--- a/ospreybridge/daemon/platform.py
+++ b/ospreybridge/daemon/platform.py
@@ -1,4 +1,4 @@
-"""One call server on the users' platform as a process: configuration, loop, front, signals, logs."""
+"""The process of one call server on the users' platform: event loop, sockets, signals and logs."""
 
 from __future__ import annotations
 
@@ -8,30 +8,33 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ospreybridge.fronts.access import Front
+from ospreybridge.fronts.access import AccessFront
 from ospreybridge.net.loop import EventLoop, Task
 from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.platform import PlatformConfig, load
 
 Log = Callable[..., None]
-FIGURES_INTERVAL_MS = 5_000.0  # ms between the lines that tell what the server believes
-GC_THRESHOLDS = (50_000, 20, 1_000)  # allocations, young and middle collections before the next kind
+FIGURES_INTERVAL_MS = 5_000.0  # between the `figures` log lines
+# Allocations before a young collection, young ones before a middle one, middle ones before a full one.
+GC_THRESHOLDS = (50_000, 20, 1_000)
 
 
 class PlatformDaemon:
+    """Runs one call server on the platform until a signal stops it."""
+
     def __init__(self, config: PlatformConfig, log: Log, log_calls: bool = False) -> None:
         self.config, self.log = config, log
         self.loop = EventLoop()
         self.loop.on_task_error = lambda name, error: log(
             "task failed", task=name, error=repr(error), exc_info=error
         )
-        unix = time.time() * 1_000.0 - self.loop.now
-        self.front = Front(self.loop, config, unix, log, log if log_calls else None)
+        unix_offset_ms = time.time() * 1_000.0 - self.loop.now
+        self.front = AccessFront(self.loop, config, unix_offset_ms, log, log if log_calls else None)
         self.server = self.front.server
         self.loop.spawn(self._log_figures())
 
     def run(self) -> int:
-        """Serves until it has stopped after SIGTERM or SIGINT; the exit code."""
+        """Serves until the shutdown after SIGTERM or SIGINT is over; returns the exit code."""
         self.loop.on_signals(
             {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload}
         )
@@ -44,23 +47,24 @@
         return 0
 
     def _log_figures(self) -> Task:
-        """What the server believes, for a person to hold against what passed."""
+        """Logs the server's counters and each office's state regularly."""
         while True:
             yield "sleep", FIGURES_INTERVAL_MS
-            core = self.server
+            server = self.server
             self.log(
                 "figures",
-                pending=len(core.pending),
-                standing=len(core.established),
-                clients=len(core.clients),
-                links=len(core.pool_by_connection),
+                pending=len(server.pending),
+                standing=len(server.established),
+                clients=len(server.clients),
+                links=len(server.pool_by_connection),
                 late=round(self.loop.timers.lateness.peak_ms, 1),
-                finals=dict(core.finals),
-                counts=dict(core.counts),
-                offices=core.office_figures(self.loop.now),
+                finals=dict(server.finals),
+                counts=dict(server.counts),
+                offices=server.office_figures(self.loop.now),
             )
 
     def stop(self) -> None:
+        """Begins the shutdown."""
         self.server.stop(self.loop.now)
         self.loop.spawn(self._wait_until_stopped())
 
@@ -70,7 +74,7 @@
         self.loop.running = False
 
     def reload(self) -> None:
-        """Reads the configuration anew; a bad one is refused by its faults and the old one stays."""
+        """Reloads the configuration; an invalid one is logged with its errors and the old one kept."""
         try:
             new = load(Path(self.config.path))
         except SettingsError as error:
--- a/ospreybridge/fronts/__init__.py
+++ b/ospreybridge/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts turn bytes into events of the core and back; none of them decides anything."""
+"""Socket handling of the call servers: turns received octets into events; decides nothing about calls."""
--- a/ospreybridge/fronts/access.py
+++ b/ospreybridge/fronts/access.py
@@ -1,4 +1,8 @@
-"""The platform's front: sockets only. Octets in, lines and frames to the core; what the core says, out."""
+"""Sockets of the call server on the platform: passes received lines, frames and datagrams to PlatformServer.
+
+It implements the server's Transport and decides nothing about calls. A test checks that it imports none of
+the heavy packages (cryptography and others).
+"""
 
 from __future__ import annotations
 
@@ -15,15 +19,17 @@
 from ospreybridge.signalling import frames, jsonl
 from ospreybridge.signalling.errors import FrameError
 
-MAX_UNSENT_BYTES = 1 << 18  # octets that a peer may leave unread
-MAX_DATAGRAMS_PER_TURN = 64  # taken in a turn
-LINGER_MS = 200.0  # ms in which a closed connection may still be read, so that its last words arrive
-MAX_LINGERING = 16  # such connections at once, and octets read from each: a stranger gets no more
-MAX_DRAINED_BYTES = 1 << 18
-SILENCE_CHECK_INTERVAL_MS = 100.0  # ms between looks whether the feed has gone silent
+MAX_UNSENT_BYTES = 1 << 18  # a peer that leaves more unread is disconnected
+MAX_DATAGRAMS_PER_TURN = 64  # then other sockets are served
+LINGER_MS = 200.0  # a closed connection is read for this time, so that its last messages arrive
+MAX_LINGERING = 16  # connections at once: bounds what a misbehaving client can use
+MAX_DRAINED_BYTES = 1 << 18  # read from each of them
+SILENCE_CHECK_INTERVAL_MS = 100.0  # for the journal service
+
 
+class AccessFront:
+    """The listener and all connections of one call server."""
 
-class Front:
     def __init__(
         self,
         loop: EventLoop,
@@ -32,12 +38,12 @@
         log: Callable[..., None] | None = None,
         trace: Callable[..., None] | None = None,
     ) -> None:
-        """OSError where an address can't be listened on."""
+        """OSError if an address can't be bound. `unix_offset_ms`: Unix time at zero of the loop's clock."""
         self.loop, self.config, self.log = loop, config, log
         self.streams: dict[int, tcp.Stream] = {}
         self.lingering_count = 0
-        self.client_ids: set[int] = set()  # connections that came in
-        self.dialling: set[int] = set()  # connections being opened and still wanted
+        self.client_ids: set[int] = set()  # connections that were accepted
+        self.dialling: set[int] = set()  # being opened and not closed meanwhile
         self.peer_socket: socket.socket | None = None
         self.server = PlatformServer(config, loop.timers, self, loop.now, unix_offset_ms, log, trace)
         self.listener = tcp.listen(config.listen)
@@ -49,7 +55,7 @@
             loop.spawn(self._receive_datagrams(self.peer_socket))
         self.journal_feed = JournalFeed(config.seed + 2)
         self.journal_stream: tcp.Stream | None = None
-        self.journal_moves = 0  # how often the journal service has got another address
+        self.journal_moves = 0  # changes of the service's address
         loop.spawn(self._follow_journal())
         loop.spawn(self._watch_journal())
         loop.spawn(tcp.accept_connections(loop, self.listener, self._accepted))
@@ -57,92 +63,95 @@
     # -- clients
 
     def _accepted(self, sock: socket.socket) -> None:
-        conn = self.server.client_connected(self.loop.now)
-        if conn is None:
+        connection_id = self.server.client_connected(self.loop.now)
+        if connection_id is None:
             sock.close()
             return
-        stream = self.streams[conn] = tcp.Stream(self.loop, sock, MAX_UNSENT_BYTES)
-        self.client_ids.add(conn)
-        stream.on_close = lambda reason: self._client_closed(conn)
-        self.loop.spawn(self._read_client(conn, stream))
+        stream = self.streams[connection_id] = tcp.Stream(self.loop, sock, MAX_UNSENT_BYTES)
+        self.client_ids.add(connection_id)
+        stream.on_close = lambda reason: self._client_closed(connection_id)
+        self.loop.spawn(self._read_client(connection_id, stream))
 
-    def _read_client(self, conn: int, stream: tcp.Stream) -> Task:
+    def _read_client(self, connection_id: int, stream: tcp.Stream) -> Task:
         splitter = jsonl.Splitter()
         while data := (yield from stream.read()):
             for line in splitter.feed(data):
-                self.server.client_line(self.loop.now, conn, line)
-                if conn not in self.streams:
+                self.server.client_line(self.loop.now, connection_id, line)
+                if connection_id not in self.streams:
                     return
             if splitter.error:
-                self.server.client_unreadable(self.loop.now, conn, splitter.error)
+                self.server.client_unreadable(self.loop.now, connection_id, splitter.error)
                 return
-        stream.close("the client closed")
+        stream.close("closed by the client")
 
-    def _client_closed(self, conn: int) -> None:
-        self.streams.pop(conn, None)
-        self.client_ids.discard(conn)
-        self.server.client_disconnected(self.loop.now, conn)
+    def _client_closed(self, connection_id: int) -> None:
+        self.streams.pop(connection_id, None)
+        self.client_ids.discard(connection_id)
+        self.server.client_disconnected(self.loop.now, connection_id)
 
     # -- offices
 
-    def dial(self, conn: int, address: Address) -> None:
-        self.dialling.add(conn)
-        self.loop.spawn(self._dial_office(conn, address))
+    def dial(self, connection_id: int, address: Address) -> None:
+        """Opens a connection to an office; the result goes to office_connected or office_dial_failed."""
+        self.dialling.add(connection_id)
+        self.loop.spawn(self._dial_office(connection_id, address))
 
-    def _dial_office(self, conn: int, address: Address) -> Task:
-        within = self.config.settings.limits.dial_timeout or DIAL_TIMEOUT_MS
-        yield "sleep", 0.0  # the core is in the middle of a step
+    def _dial_office(self, connection_id: int, address: Address) -> Task:
+        timeout = self.config.settings.limits.dial_timeout or DIAL_TIMEOUT_MS
+        yield "sleep", 0.0  # the server is still handling the event that asked for it
         try:
-            sock = yield from tcp.connect(self.loop, address, within)
+            sock = yield from tcp.connect(self.loop, address, timeout)
         except OSError as error:
             refused = error.errno == errno.ECONNREFUSED
-            self.dialling.discard(conn)
-            self.server.office_dial_failed(self.loop.now, conn, refused)
+            self.dialling.discard(connection_id)
+            self.server.office_dial_failed(self.loop.now, connection_id, refused)
             return
-        if conn not in self.dialling:
+        if connection_id not in self.dialling:
             sock.close()
             return
-        self.dialling.discard(conn)
-        stream = self.streams[conn] = tcp.Stream(self.loop, sock, MAX_UNSENT_BYTES)
-        stream.on_close = lambda reason: self._office_closed(conn)
-        self.server.office_connected(self.loop.now, conn)
-        yield from self._read_office(conn, stream)
+        self.dialling.discard(connection_id)
+        stream = self.streams[connection_id] = tcp.Stream(self.loop, sock, MAX_UNSENT_BYTES)
+        stream.on_close = lambda reason: self._office_closed(connection_id)
+        self.server.office_connected(self.loop.now, connection_id)
+        yield from self._read_office(connection_id, stream)
 
-    def _read_office(self, conn: int, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
+    def _read_office(self, connection_id: int, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
         splitter = jsonl.Splitter()
         while data := (yield from stream.read()):
             for line in splitter.feed(data):
-                self.server.office_line(self.loop.now, conn, line)
-                if conn not in self.streams:
+                self.server.office_line(self.loop.now, connection_id, line)
+                if connection_id not in self.streams:
                     return
             if splitter.error:
                 stream.close(splitter.error)
                 return
-        stream.close("the office closed")
+        stream.close("closed by the office")
 
-    def _office_closed(self, conn: int) -> None:
-        self.streams.pop(conn, None)
-        self.server.office_disconnected(self.loop.now, conn)
+    def _office_closed(self, connection_id: int) -> None:
+        self.streams.pop(connection_id, None)
+        self.server.office_disconnected(self.loop.now, connection_id)
 
-    # -- what the core asks for
+    # -- Transport
 
-    def send(self, conn: int, data: bytes) -> None:
-        stream = self.streams.get(conn)
+    def send(self, connection_id: int, data: bytes) -> None:
+        """Queues octets on a connection; dropped if it is closed."""
+        stream = self.streams.get(connection_id)
         if stream is not None:
             stream.write(data)
 
-    def close(self, conn: int, reason: str) -> None:
-        stream = self.streams.get(conn)
+    def close(self, connection_id: int, reason: str) -> None:
+        """Closes a connection or abandons its dial; a client's is first read for a while, see below."""
+        stream = self.streams.get(connection_id)
         if stream is None:
-            self.dialling.discard(conn)
+            self.dialling.discard(connection_id)
             return
         stream.flush()
-        words = conn in self.client_ids and stream.has_written and not stream.closed
-        if words and self.lingering_count < MAX_LINGERING:
+        drain_first = connection_id in self.client_ids and stream.has_written and not stream.closed
+        if drain_first and self.lingering_count < MAX_LINGERING:
             # Octets left unread would turn the close into a reset, which may destroy what was just written.
-            # An office's connection closes at once: until then its set-ups count as out.
-            self.streams.pop(conn, None)
-            self.client_ids.discard(conn)
+            # An office's connection is closed at once: until then its set-ups count as open.
+            self.streams.pop(connection_id, None)
+            self.client_ids.discard(connection_id)
             stream.on_close = None
             self.loop.interrupt(stream.fd)
             self.loop.spawn(self._close_after_drain(stream, reason))
@@ -151,7 +160,7 @@
 
     def _close_after_drain(self, stream: tcp.Stream, reason: str) -> Task:
         self.lingering_count += 1
-        end = self.loop.timers.schedule(self.loop.now + LINGER_MS, lambda now: stream.close(reason))
+        timer = self.loop.timers.schedule(self.loop.now + LINGER_MS, lambda now: stream.close(reason))
         drained = 0
         try:
             with contextlib.suppress(OSError):
@@ -160,30 +169,32 @@
             while drained < MAX_DRAINED_BYTES and (data := (yield from stream.read())):
                 drained += len(data)
             stream.close(reason)
-        finally:  # also where the timer was first: the loop drops a task whose socket it forgets
-            end.cancel()
+        finally:  # also if the timer closed the stream: the loop then drops this task
+            timer.cancel()
             self.lingering_count -= 1
 
-    def send_datagram(self, to: Address, body: bytes) -> None:
+    def send_datagram(self, destination: Address, body: bytes) -> None:
+        """Sends a datagram to a peer, if datagrams are configured."""
         if self.peer_socket is not None:
-            with contextlib.suppress(OSError):  # lost, as any datagram may be
-                self.peer_socket.sendto(body, to)
+            with contextlib.suppress(OSError):  # any datagram may be lost
+                self.peer_socket.sendto(body, destination)
 
     # -- peers and the journal service
 
-    def _receive_datagrams(self, udp: socket.socket) -> Task:
+    def _receive_datagrams(self, sock: socket.socket) -> Task:
         while True:
-            yield READ, udp.fileno()
+            yield READ, sock.fileno()
             for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
-                    body, source = udp.recvfrom(512)
+                    body, source = sock.recvfrom(512)
                 except OSError:
                     break
                 self.server.datagram_received(self.loop.now, source, body)
 
     def _follow_journal(self) -> Task:
+        """Keeps a connection to the journal service; after a change of its address without a delay."""
         while True:
-            moved = self.journal_moves
+            moves_before = self.journal_moves
             try:
                 sock = yield from tcp.connect(self.loop, self.config.journal, DIAL_TIMEOUT_MS)
                 stream = self.journal_stream = tcp.Stream(self.loop, sock)
@@ -192,10 +203,11 @@
             except OSError as error:
                 self._log_event("journal service not reached", error=str(error))
             self.journal_stream = None
-            if moved == self.journal_moves:
+            if moves_before == self.journal_moves:
                 yield "sleep", self.journal_feed.next_retry_delay()
 
     def _read_journal(self, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
+        """Asks for the events after the last one applied and applies them until the connection ends."""
         splitter = frames.Splitter()
         stream.write(frames.REQUEST.pack(self.server.office_list.last_number))
         while data := (yield from stream.read()):
@@ -208,9 +220,10 @@
             if splitter.error:
                 self._log_event("journal service unreadable", reason=splitter.error)
                 break
-        stream.close("asked anew")
+        stream.close("reconnecting")
 
     def _watch_journal(self) -> Task:
+        """Ends a connection to the journal service that has gone silent."""
         while True:
             yield "sleep", SILENCE_CHECK_INTERVAL_MS
             if self.journal_stream is not None and self.journal_feed.is_silent(self.loop.now):
@@ -218,12 +231,12 @@
                 self._restart_journal(self.journal_stream)
 
     def _restart_journal(self, stream: tcp.Stream) -> None:
-        """Ends a feed whose task waits for octets that may never come."""
+        """Wakes the task that waits for octets that may never come: it sees the end and reconnects."""
         with contextlib.suppress(OSError):
             stream.sock.shutdown(socket.SHUT_RDWR)
 
     def reload(self, config: PlatformConfig) -> None:
-        """Takes a new address of the journal service; the numbering goes on."""
+        """Applies a new address of the journal service, which continues the numbering of events."""
         if config.journal != self.config.journal:
             self.config = config
             self.journal_moves += 1
--- a/ospreybridge/settings/platform.py
+++ b/ospreybridge/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration (JSON, by ROUTER_CONFIG), checked whole before anything of it is used."""
+"""The platform's configuration: a JSON file named by ROUTER_CONFIG, validated as a whole before use."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 Address = tuple[str, int]
 STATE_BY_PHASE = {"up": frames.READY, "draining": frames.DRAINING, "removed": frames.REMOVED}
-WEIGHT_SCALE = 1_000.0
-NO_ADDRESS: Address = ("0.0.0.0", 0)
+WEIGHT_SCALE = 1_000.0  # frames carry weights in thousandths
+NO_ADDRESS: Address = ("0.0.0.0", 0)  # of a removed office
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """What one call server is told at its start. Times are milliseconds, memory is MB."""
+    """The configuration of one call server. Times are milliseconds."""
 
     path: str
     name: str
     listen: Address
     seed: int
     memory_mb: float
-    sockets: int
+    sockets: int  # descriptors that the process may have open
     cores: float
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    journal: Address
-    known_events: tuple[frames.Frame, ...]
+    journal: Address  # of the journal service
+    known_events: tuple[frames.Frame, ...]  # the office list at the start
     settings: interface.Settings
     report_columns: tuple[str, ...]
     zones: tuple[str, ...]
@@ -43,15 +43,17 @@
 
 
 class _ErrorCollector:
-    """Collects every fault of a file: file, key, what was expected."""
+    """Collects all errors of a file, each with the file, the key and what was expected."""
 
     def __init__(self, path: str) -> None:
         self.path, self.errors = path, list[str]()
 
     def add_error(self, key: str, expected: str) -> None:
+        """`key`: the dotted path from the top of the file."""
         self.errors.append(f"{self.path}: {key}: {expected}")
 
     def read(self, tree: dict[str, Any], key: str, convert: Callable[[Any], Any], default: Any = None) -> Any:
+        """The converted value of the last part of `key` in `tree`; `default` if it is absent or invalid."""
         name = key.rpartition(".")[2]
         if name not in tree and default is not None:
             return default
@@ -63,10 +65,13 @@
 
 
 def parse_address(value: Any) -> Address:
+    """Parses "IPv4:port"; ValueError if it is anything else."""
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     octets = host.split(".")
-    sound = len(octets) == 4 and all(o.isascii() and o.isdigit() and int(o) < 256 for o in octets)
-    if not sound or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65_536:
+    valid = len(octets) == 4 and all(
+        octet.isascii() and octet.isdigit() and int(octet) < 256 for octet in octets
+    )
+    if not valid or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65_536:
         raise ValueError('expected "IPv4:port"')
     return host, int(port)
 
@@ -93,10 +98,10 @@
     if not isinstance(value, str) or not 1 <= len(value) <= 32:
         raise ValueError("expected hex digits")
     try:
-        found = int(value, 16)
+        seed = int(value, 16)
     except ValueError:
         raise ValueError("expected hex digits") from None
-    return found
+    return seed
 
 
 def _parse_positive(value: Any) -> float:
@@ -130,51 +135,53 @@
 
 
 def _read_member(
-    checks: _ErrorCollector, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
+    collector: _ErrorCollector, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> frames.OfficeRecord | None:
-    before = len(checks.errors)
-    office = checks.read(tree, f"{key}.id", frames.office_id)
-    state = checks.read(tree, f"{key}.phase", _parse_phase)
-    gone = state == frames.REMOVED  # nothing more is needed of it
+    errors_before = len(collector.errors)
+    office_id = collector.read(tree, f"{key}.id", frames.office_id)
+    state = collector.read(tree, f"{key}.phase", _parse_phase)
+    removed = state == frames.REMOVED  # then its id is enough
     host, port = (
-        checks.read(tree, f"{key}.host_port", parse_address, NO_ADDRESS if gone else None) or NO_ADDRESS
+        collector.read(tree, f"{key}.host_port", parse_address, NO_ADDRESS if removed else None) or NO_ADDRESS
     )
-    zone = checks.read(tree, f"{key}.locality", _index_parser(zones), 0 if gone else None)
-    kind = checks.read(tree, f"{key}.flavor", _index_parser(kinds), 0)
-    cell = checks.read(tree, f"{key}.cell", _integer_parser(0, 65_535), 0)
-    weight = checks.read(tree, f"{key}.size", _parse_positive, 1.0)
-    started = checks.read(tree, f"{key}.up_since_ms", _integer_parser(0, 1 << 53), 0)
-    if len(checks.errors) > before:
+    zone = collector.read(tree, f"{key}.locality", _index_parser(zones), 0 if removed else None)
+    kind = collector.read(tree, f"{key}.flavor", _index_parser(kinds), 0)
+    cell = collector.read(tree, f"{key}.cell", _integer_parser(0, 65_535), 0)
+    weight = collector.read(tree, f"{key}.size", _parse_positive, 1.0)
+    started_unix_ms = collector.read(tree, f"{key}.up_since_ms", _integer_parser(0, 1 << 53), 0)
+    if len(collector.errors) > errors_before:
         return None
     return frames.OfficeRecord(
-        office, host, port, state, zone, kind, cell, int(weight * WEIGHT_SCALE), started
+        office_id, host, port, state, zone, kind, cell, int(weight * WEIGHT_SCALE), started_unix_ms
     )
 
 
 def _read_known_events(
-    checks: _ErrorCollector, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
+    collector: _ErrorCollector, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> tuple[frames.Frame, ...]:
-    found = []
-    for place, entry in enumerate(checks.read(tree, "known.entries", _parse_list, [])):
-        key = f"known.entries.{place}"
+    events = []
+    for entry_index, entry in enumerate(collector.read(tree, "known.entries", _parse_list, [])):
+        key = f"known.entries.{entry_index}"
         try:
             hosts = _parse_object(_parse_object(entry).get("hosts"))
         except ValueError as error:
-            checks.add_error(key, str(error))
+            collector.add_error(key, str(error))
             continue
-        number = checks.read(entry, f"{key}.pos", _integer_parser(0, 1 << 62))
-        members = checks.read(hosts, f"{key}.hosts.members", _parse_list, [])
+        number = collector.read(entry, f"{key}.pos", _integer_parser(0, 1 << 62))
+        members = collector.read(hosts, f"{key}.hosts.members", _parse_list, [])
         records = []
-        for at, member in enumerate(members):
+        for member_index, member in enumerate(members):
             tree = member if isinstance(member, dict) else {}
-            records.append(_read_member(checks, f"{key}.hosts.members.{at}", tree, zones, kinds))
+            records.append(_read_member(collector, f"{key}.hosts.members.{member_index}", tree, zones, kinds))
         kind = frames.FULL_LIST if hosts.get("complete") else frames.CHANGES
-        found.append(frames.Frame(number or 0, kind, tuple(r for r in records if r is not None)))
-    return tuple(found)
+        events.append(
+            frames.Frame(number or 0, kind, tuple(record for record in records if record is not None))
+        )
+    return tuple(events)
 
 
 def load(path: Path) -> PlatformConfig:
-    """The configuration in a file; SettingsError with every fault."""
+    """Reads and validates a configuration file; SettingsError with all its errors."""
     try:
         tree = json.loads(path.read_bytes())
     except OSError as error:
@@ -185,14 +192,15 @@
 
 
 def parse(path: str, tree: Any) -> PlatformConfig:
-    checks = _ErrorCollector(path)
+    """Validates a decoded configuration; `path` is for the error lines. SettingsError with all its errors."""
+    collector = _ErrorCollector(path)
     if not isinstance(tree, dict):
         raise SettingsError([f"{path}: expected an object"])
     settings: interface.Settings | None = None
     columns: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    raw = checks.read(tree, "settings", _parse_object)
+    raw = collector.read(tree, "settings", _parse_object)
     if raw is not None:
         try:
             pairs = SettingPairs.from_json(raw)
@@ -200,28 +208,28 @@
             check_settings(settings)
             zones, kinds = tuple(raw.get("Zones") or ()), tuple(raw.get("Kinds") or ())
         except (ValueError, TypeError) as error:
-            checks.add_error("settings", str(error))
-    limits = checks.read(tree, "limits", _parse_object, {})
+            collector.add_error("settings", str(error))
+    limits = collector.read(tree, "limits", _parse_object, {})
     peers = []
-    for place, item in enumerate(checks.read(tree, "peers", _parse_list, [])):
+    for index, item in enumerate(collector.read(tree, "peers", _parse_list, [])):
         try:
             peers.append(parse_address(item))
         except ValueError as error:
-            checks.add_error(f"peers.{place}", str(error))
-    found = PlatformConfig(
+            collector.add_error(f"peers.{index}", str(error))
+    config = PlatformConfig(
         path=path,
-        name=checks.read(tree, "name", _parse_text),
-        listen=checks.read(tree, "listen", parse_address),
-        seed=checks.read(tree, "seed", _parse_seed),
-        memory_mb=checks.read(limits, "limits.memory_mb", _parse_positive, 192.0),
-        sockets=checks.read(limits, "limits.sockets", _integer_parser(16, 1 << 20), 256),
-        cores=checks.read(limits, "limits.cores", _parse_positive, 1.0),
-        peer_listen=checks.read(tree, "peer_listen", parse_address) if tree.get("peer_listen") else None,
+        name=collector.read(tree, "name", _parse_text),
+        listen=collector.read(tree, "listen", parse_address),
+        seed=collector.read(tree, "seed", _parse_seed),
+        memory_mb=collector.read(limits, "limits.memory_mb", _parse_positive, 192.0),
+        sockets=collector.read(limits, "limits.sockets", _integer_parser(16, 1 << 20), 256),
+        cores=collector.read(limits, "limits.cores", _parse_positive, 1.0),
+        peer_listen=collector.read(tree, "peer_listen", parse_address) if tree.get("peer_listen") else None,
         peers=tuple(peers),
-        peers_all=checks.read(tree, "peers_all", parse_address) if tree.get("peers_all") else None,
-        journal=checks.read(tree, "journal", parse_address),
+        peers_all=collector.read(tree, "peers_all", parse_address) if tree.get("peers_all") else None,
+        journal=collector.read(tree, "journal", parse_address),
         known_events=_read_known_events(
-            checks, checks.read(tree, "known", _parse_object, {"entries": []}), zones, kinds
+            collector, collector.read(tree, "known", _parse_object, {"entries": []}), zones, kinds
         )
         if settings is not None
         else (),
@@ -230,6 +238,6 @@
         zones=zones,
         kinds=kinds,
     )
-    if checks.errors:
-        raise SettingsError(checks.errors)
-    return found
+    if collector.errors:
+        raise SettingsError(collector.errors)
+    return config
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from ospreybridge.fronts.access import Front
+from ospreybridge.fronts.access import AccessFront
 from ospreybridge.net.loop import EventLoop
 from ospreybridge.settings.platform import parse
 from ospreybridge.signalling import frames
@@ -32,16 +32,16 @@
         self.journal = JournalService(self.loop, [frames.Frame(1, frames.FULL_LIST, tuple(self.records))])
         self.serial = 0
 
-    def config(self) -> dict[str, object]:
+    def server_config(self) -> dict[str, object]:
         members = [member(10 + cell, cell, port=x.port) for cell, x in enumerate(self.offices)]
         return config(
             known={"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]},
             journal=f"127.0.0.1:{self.journal.port}",
         )
 
-    def start_server(self) -> Front:
+    def start_server(self) -> AccessFront:
         self.loop.on_task_error = lambda name, error: pytest.fail(f"{name}: {error!r}")
-        front = Front(self.loop, parse("config.json", self.config()), 0.0)
+        front = AccessFront(self.loop, parse("config.json", self.server_config()), 0.0)
         self.until(lambda: all(len(pool.connections) == 2 for pool in front.server.pools.values()))
         return front
 
@@ -145,7 +145,7 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
-    tree = {**world.config(), "listen": f"127.0.0.1:{port}"}
+    tree = {**world.server_config(), "listen": f"127.0.0.1:{port}"}
     path.write_text(json.dumps(tree))
     command = [sys.executable, "-m", "ospreybridge", "serve"]
     with open(path.with_suffix(".log"), "wb") as log:
