--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -240,16 +240,17 @@
         self._process_events(now)
 
     def _restore_established(self, now: float, client: Client, uid: str, office_id: int) -> None:
-        """Registers a call that a caller reports as established, after a restart of this process."""
+        """Registers a call that a caller reports as established, after a restart of this process.
+
+        It is released instead if it ended meanwhile, if its office is gone, or if there are too many calls.
+        """
         self._mark_valid(now, client)
         cause = self.early_releases.pop(uid, None)
         if cause is not None:
             self._begin_release(now, uid, cause, client.connection_id)
             return
         if office_id not in self.office_list.by_id or len(self.established) >= MAX_ESTABLISHED:
-            self._begin_release(
-                now, uid, RESET_CAUSE, client.connection_id
-            )  # no such office, or too many calls
+            self._begin_release(now, uid, RESET_CAUSE, client.connection_id)
             return
         call = Call(
             0, uid, "", "", None, client.connection_id, 0.0, stage=Stage.ESTABLISHED, office_id=office_id
--- a/ospreybridge/settings/platform.py
+++ b/ospreybridge/settings/platform.py
@@ -137,6 +137,7 @@
 def _read_member(
     collector: _ErrorCollector, key: str, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> frames.OfficeRecord | None:
+    """One office of the list; None after an error."""
     errors_before = len(collector.errors)
     office_id = collector.read(tree, f"{key}.id", frames.office_id)
     state = collector.read(tree, f"{key}.phase", _parse_phase)
@@ -159,6 +160,7 @@
 def _read_known_events(
     collector: _ErrorCollector, tree: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> tuple[frames.Frame, ...]:
+    """The events of the office list that are known at the start, in the form of the journal service."""
     events = []
     for entry_index, entry in enumerate(collector.read(tree, "known.entries", _parse_list, [])):
         key = f"known.entries.{entry_index}"
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -467,9 +467,8 @@
         rig.office_sends(connection, "usage", "", load="free:7;size:20")
     assert controller.offices[11].free == 7.0
     rig.office_sends(connections[0], "usage", "", load="free:8;size:20")
-    rig.office_sends(
-        connections[1], "usage", "", load="free:7;size:20"
-    )  # the earlier update, delayed on the other connection
+    # The earlier update, delayed on the other connection.
+    rig.office_sends(connections[1], "usage", "", load="free:7;size:20")
     assert controller.offices[11].free == 8.0
 
 
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -86,9 +86,9 @@
     held = world.set_up(caller)
     world.until(lambda: world.offices[1].asked == [held])
     world.offices[1].mute, world.offices[1].spoil = False, b"\x00\xff{{{\n"
-    spoilt = world.set_up(caller)
-    world.until(lambda: caller.kinds(spoilt) == ["running"])
-    assert world.offices[1].asked.count(spoilt) == 2 and world.offices[1].asked.count(held) == 1
+    retried = world.set_up(caller)
+    world.until(lambda: caller.kinds(retried) == ["running"])
+    assert world.offices[1].asked.count(retried) == 2 and world.offices[1].asked.count(held) == 1
     assert front.server.counts["attempts reset"] == 1 and held in front.server.pending
 
 
