--- a/ospreybridge/access/offices.py
+++ b/ospreybridge/access/offices.py
@@ -1,83 +1,106 @@
-"""The office list as the journal service tells it: who is there, where, in which state, and since when.
+"""The office list from the journal service: address, cell, readiness and start time of each office.
 
-Events are numbered; old ones are ignored. What the module is told is made here, and so is which calls are
-over because their office is another one now.
+Events are numbered, and old ones are ignored. Each event is translated into the controller's form; from the
+start times the server recognizes that an office was restarted and its calls are lost.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 from ospreybridge.signalling import frames
 from ospreybridge.signalling.errors import FrameError
 
-READINESS = {
-    frames.READY: i.Readiness.READY,
-    frames.DRAINING: i.Readiness.DRAINING,
-    frames.REMOVED: i.Readiness.GONE,
+READINESS_BY_STATE = {
+    frames.READY: interface.Readiness.READY,
+    frames.DRAINING: interface.Readiness.DRAINING,
+    frames.REMOVED: interface.Readiness.GONE,
 }
-THOUSANDTHS = 1_000.0
+WEIGHT_SCALE = 1_000.0  # frames carry weights in thousandths
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Office:
+    """One office of the list."""
+
     id: int
     cell: int
     address: Address
-    readiness: i.Readiness
-    started: float  # ms of the loop's clock, 0: long ago
-    told: float  # since when it is known to drain or to be gone
+    readiness: interface.Readiness
+    started_at: float  # milliseconds of the loop's clock; 0: long ago
+    readiness_since: float  # when the present readiness was learnt
+
 
+class OfficeList:
+    """The offices known, and the number of the last event applied."""
 
-class Offices:
-    def __init__(self, zones: int, kinds: int, unix: float) -> None:
-        """`unix`: Unix milliseconds at zero of the clock that the events' times are turned to."""
-        self.zones, self.kinds, self.unix = zones, kinds, unix
-        self.last = 0  # number of the last event
-        self.known: dict[int, Office] = {}
+    def __init__(self, zone_count: int, kind_count: int, unix_offset_ms: float) -> None:
+        """`unix_offset_ms`: Unix time at zero of the clock that start times are converted to."""
+        self.zone_count, self.kind_count, self.unix_offset_ms = zone_count, kind_count, unix_offset_ms
+        self.last_number = 0
+        self.by_id: dict[int, Office] = {}
 
-    def news(self, now: float, frame: frames.Frame) -> i.Members | None:
-        """What an event means to the module; None for nothing new; FrameError where it can't be meant."""
-        if frame.kind == frames.NO_CHANGES or frame.number <= self.last:
+    def apply(self, now: float, frame: frames.Frame) -> interface.Members | None:
+        """The event for the controller; None if it holds nothing new; FrameError if invalid."""
+        if frame.kind == frames.NO_CHANGES or frame.number <= self.last_number:
             return None
-        if frame.kind == frames.CHANGES and frame.number != self.last + 1:
-            raise FrameError(f"event {frame.number} after {self.last}")
-        for r in frame.records:
-            if r.state != frames.REMOVED and (r.zone >= self.zones or r.kind >= self.kinds or not r.port):
-                raise FrameError(f"office {frames.office_name(r.id)} has no zone, kind or port")
-        entries = tuple(self._entry(now, record) for record in frame.records)
-        self.last = frame.number
+        if frame.kind == frames.CHANGES and frame.number != self.last_number + 1:
+            raise FrameError(f"event {frame.number} after {self.last_number}")
+        for record in frame.records:
+            if record.state != frames.REMOVED and (
+                record.zone >= self.zone_count or record.kind >= self.kind_count or not record.port
+            ):
+                raise FrameError(f"office {frames.office_name(record.id)} has no zone, kind or port")
+        entries = tuple(self._apply_record(now, record) for record in frame.records)
+        self.last_number = frame.number
         if frame.kind == frames.FULL_LIST:
-            listed = {entry.office for entry in entries}
-            for office in self.known.values():
-                if office.id not in listed:
-                    self._state(now, office, i.Readiness.GONE)
-        form = i.ListForm.FULL if frame.kind == frames.FULL_LIST else i.ListForm.DELTA
-        return i.Members(form, frame.number, entries)
-
-    def _entry(self, now: float, r: frames.OfficeRecord) -> i.Entry:
-        started = max(0.001, r.started_unix_ms - self.unix) if r.started_unix_ms else 0.0
-        office = self.known.get(r.id)
+            listed_ids = {entry.office for entry in entries}
+            for office in self.by_id.values():
+                if office.id not in listed_ids:
+                    self._set_readiness(now, office, interface.Readiness.GONE)
+        form = interface.ListForm.FULL if frame.kind == frames.FULL_LIST else interface.ListForm.DELTA
+        return interface.Members(form, frame.number, entries)
+
+    def _apply_record(self, now: float, record: frames.OfficeRecord) -> interface.Entry:
+        """Updates one office; a removed one keeps its cell and address."""
+        started_at = (
+            max(0.001, record.started_unix_ms - self.unix_offset_ms) if record.started_unix_ms else 0.0
+        )
+        office = self.by_id.get(record.id)
         if office is None:
-            office = self.known[r.id] = Office(
-                r.id, r.cell, (r.address, r.port), i.Readiness.READY, started, 0.0
+            office = self.by_id[record.id] = Office(
+                record.id,
+                record.cell,
+                (record.address, record.port),
+                interface.Readiness.READY,
+                started_at,
+                0.0,
+            )
+        if record.state != frames.REMOVED:
+            office.cell, office.address, office.started_at = (
+                record.cell,
+                (record.address, record.port),
+                started_at,
             )
-        if r.state != frames.REMOVED:
-            office.cell, office.address, office.started = r.cell, (r.address, r.port), started
-        self._state(now, office, READINESS[r.state])
-        weight = r.weight / THOUSANDTHS
-        return i.Entry(r.id, office.cell, r.zone, office.readiness, office.started, r.kind, weight)
+        self._set_readiness(now, office, READINESS_BY_STATE[record.state])
+        weight = record.weight / WEIGHT_SCALE
+        return interface.Entry(
+            record.id, office.cell, record.zone, office.readiness, office.started_at, record.kind, weight
+        )
 
-    def _state(self, now: float, office: Office, readiness: i.Readiness) -> None:
+    def _set_readiness(self, now: float, office: Office, readiness: interface.Readiness) -> None:
         if office.readiness is not readiness:
-            office.readiness, office.told = readiness, now
+            office.readiness, office.readiness_since = readiness, now
 
-    def barred(self, now: float, office: int, grace: float) -> bool:
-        """Whether nothing new may go there: unknown, or told for longer than the grace that it drains."""
-        found = self.known.get(office)
-        return found is None or (found.readiness is not i.Readiness.READY and now - found.told >= grace)
+    def is_barred(self, now: float, office_id: int, grace: float) -> bool:
+        """Whether an office gets no new set-ups: unknown, or not ready for `grace` milliseconds."""
+        office = self.by_id.get(office_id)
+        return office is None or (
+            office.readiness is not interface.Readiness.READY and now - office.readiness_since >= grace
+        )
 
-    def forget(self, office: int) -> None:
-        self.known.pop(office, None)
+    def forget(self, office_id: int) -> None:
+        """Drops an office that nothing refers to any more."""
+        self.by_id.pop(office_id, None)
