--- a/ospreybridge/lab/checker.py
+++ b/ospreybridge/lab/checker.py
@@ -1,7 +1,14 @@
-"""The five rules, judged from the frames that passed between processes, and from nothing else.
+"""Checks the five routing rules using only the frames recorded between the processes.
 
-A call is known at an exchange by its calling number, which the day gives to one wish only. What a call server
-has heard is taken from what it says afterwards (its RLC to a REL), since frames cross on their way.
+A call is identified at an exchange by its calling number, which a scripted day gives to one caller only.
+Frames can cross in transit, so whether a call server has received a message is inferred from its later
+messages (for example its RLC in response to a REL).
+
+1. Every call gets exactly one final answer, in time; no attempt is made without a call or after that answer.
+2. An exchange has at most one open attempt for a call.
+3. No attempt goes to an exchange that was reported as draining or down longer ago than the drain grace.
+4. An exchange whose processor is cold gets no more set-ups than it can take.
+5. An attempt that may have been executed is not repeated before the release time has passed.
 """
 
 from __future__ import annotations
@@ -15,18 +22,19 @@
 from ospreybridge.signalling.errors import MessageError
 from ospreybridge.signalling.isup import IsupMessage
 
-SKEW = 25.0  # ms between the clocks' readings of two relay processes, and a relay's own delay under load
-SLOT = 10.0  # ms, the shortest turn of a relay that is written down
+# Covers the difference between the timestamps of two relay processes and the delay within a loaded relay.
+TIMESTAMP_TOLERANCE_MS = 25.0
+BUSY_SLOT_MS = 10.0  # the shortest loop turn that a relay records (relay.BUSY_TURN_MS)
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
-    """What the day itself knows: who is who, and the figures of the rules, in milliseconds."""
+class CheckerConfig:
+    """Point codes by role and the parameters of the rules; durations and times are in milliseconds."""
 
     exchanges: frozenset[int]
-    offices: dict[int, int]  # office: its exchange
+    offices: dict[int, int]  # office -> its exchange
     callers: frozenset[int]
-    lists: frozenset[int]
+    list_services: frozenset[int]
     deadline: float
     answer_grace: float
     drain_grace: float
@@ -35,288 +43,366 @@
     overload_for: float
     cold_share: float
     warm_after: float
-    setup: float  # ms of a warm processor for one set-up
-    slack: float = 6.0
-    asleep: tuple[tuple[int, float, float], ...] = ()  # exchange, from, to: a process that was stopped
+    setup_time: float  # processing time of one set-up on a warm processor
+    setup_slack: float = 6.0  # set-ups tolerated above the limit of rule 4, for random variation
+    # Periods in which a call server was stopped by SIGSTOP: exchange, start, end.
+    suspensions: tuple[tuple[int, float, float], ...] = ()
 
 
 @dataclass(slots=True)
 class Leg:
-    """A call on one circuit, from the side that seized it to the other."""
+    """One leg of a call: from the side that seized the circuit (`source`) to the other (`target`).
+
+    Times are in milliseconds; 0 means that the event has not happened.
+    """
 
     source: int
     target: int
     cic: int
-    calling: str
-    began: float
+    calling_number: str
+    seized_at: float
     cics: tuple[int, ...]
-    due: float = 0.0
-    stood: float = 0.0
-    answered: float = 0.0
-    released: float = 0.0  # first REL of either side
-    by: int = 0
+    answer_due_at: float = 0.0
+    established_at: float = 0.0  # first ACM, CON or ANM
+    answered_at: float = 0.0
+    released_at: float = 0.0  # first REL from either side
+    released_by: int = 0
     cause: int = 0
-    over: bool = False
-    ended: float = 0.0  # both sides know it: RLC, or a final answer
+    ended: bool = False
+    ended_at: float = 0.0  # when both sides know of the end: at the RLC or a final answer
 
 
 @dataclass(slots=True)
-class Verdict:
-    broken: list[str] = field(default_factory=list)
+class CheckResult:
+    """Rule violations and counters; `unreadable` counts frames that could not be decoded."""
+
+    violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     unreadable: int = 0
-    rules: Counter[int] = field(default_factory=Counter)
+    violations_by_rule: Counter[int] = field(default_factory=Counter)
 
 
 class Checker:
-    def __init__(self, facts: Facts) -> None:
-        self.f = facts
-        self.verdict = Verdict()
-        # pair of point codes: circuit: the call on it
-        self.on: dict[tuple[int, int], dict[int, Leg]] = defaultdict(dict)
-        self.into: dict[tuple[int, str], Leg] = {}  # exchange and calling number: the accepted call
-        self.outof: dict[tuple[int, str], list[Leg]] = defaultdict(list)  # the attempts that are out
-        self.doubt: dict[tuple[int, str], float] = {}  # last timed out, reset or cancelled attempt
-        self.barred: dict[tuple[int, int], float] = {}  # server and exchange: told that it takes nothing new
-        self.busy: dict[int, float] = {}  # by slots of time: since when some relay was busy
-        self.versions: dict[tuple[int, int], int] = {}  # newest news of the list by server and exchange
-        self.began: dict[int, float] = {}  # exchange: start of its processor, as the list told it
-        self.arrived: dict[int, deque[float]] = defaultdict(deque)
-        self.decoders = {
-            isup.IAM: self._iam,
-            isup.ACM: self._stands,
-            isup.CON: self._stands,
-            isup.ANM: self._stands,
-            isup.REL: self._rel,
-            isup.RLC: self._rlc,
-            isup.RSC: self._reset,
-            isup.GRS: self._reset,
-            isup.UCIC: self._lost,
+    """Follows every call through the recorded frames and collects the violations of the rules."""
+
+    def __init__(self, config: CheckerConfig) -> None:
+        self.config = config
+        self.result = CheckResult()
+        # Pair of point codes (lower first) -> CIC -> the latest leg on that circuit.
+        self.legs_by_circuit: dict[tuple[int, int], dict[int, Leg]] = defaultdict(dict)
+        # The key (exchange, calling number) identifies a call at an exchange.
+        self.accepted_legs: dict[tuple[int, str], Leg] = {}  # the leg on which the exchange received the call
+        self.open_attempts: dict[tuple[int, str], list[Leg]] = defaultdict(list)
+        # When the last attempt ended by a timeout, reset or cancellation.
+        self.maybe_executed_at: dict[tuple[int, str], float] = {}
+        # (receiving exchange, listed exchange) -> when the list first reported it as not accepting calls.
+        self.unavailable_since: dict[tuple[int, int], float] = {}
+        self.busy_since: dict[int, float] = {}  # time slot -> start of the long loop turn that covers it
+        # (receiving exchange, listed exchange) -> version of the newest list update received.
+        self.list_versions: dict[tuple[int, int], int] = {}
+        self.processor_started_at: dict[int, float] = {}  # by exchange, as reported by the list
+        self.recent_setups: dict[int, deque[float]] = defaultdict(deque)
+        self.handlers = {
+            isup.IAM: self._on_iam,
+            isup.ACM: self._on_answer,
+            isup.CON: self._on_answer,
+            isup.ANM: self._on_answer,
+            isup.REL: self._on_rel,
+            isup.RLC: self._on_rlc,
+            isup.RSC: self._on_reset,
+            isup.GRS: self._on_reset,
+            isup.UCIC: self._on_ucic,
         }
 
-    def check(self, records: list[Record]) -> Verdict:
-        """Judges records in the order of their time."""
-        last = 0.0
+    def check(self, records: list[Record]) -> CheckResult:
+        """Checks all records, which must be in order of time."""
+        last_record_at = 0.0
         for record in records:
-            if record.kind == tap.BUSY:
-                begun = tap.STAMP.unpack(record.frame)[0]
-                # What came in this turn is read in the next one, which may take as long again.
-                for slot in range(int(begun // SLOT), int((2 * record.at - begun) // SLOT) + 1):
-                    self.busy[slot] = min(begun, self.busy.get(slot, begun))
+            if record.kind == tap.RELAY_BUSY:
+                turn_started = tap.BUSY_PAYLOAD.unpack(record.frame)[0]
+                # What arrives during this turn is read in the next one, which may take as long again.
+                for slot in range(
+                    int(turn_started // BUSY_SLOT_MS), int((2 * record.at - turn_started) // BUSY_SLOT_MS) + 1
+                ):
+                    self.busy_since[slot] = min(turn_started, self.busy_since.get(slot, turn_started))
         for record in records:
-            last = record.at
-            if record.kind == tap.BUSY:
+            last_record_at = record.at
+            if record.kind == tap.RELAY_BUSY:
                 continue
-            if record.kind in (tap.UP, tap.DOWN):
-                self._link(record)
+            if record.kind in (tap.LINK_UP, tap.LINK_DOWN):
+                self._on_link_change(record)
                 continue
             try:
                 message = m3ua.decode(record.frame)
                 if not isinstance(message, m3ua.Data):
-                    self._state(record, message)
+                    self._on_list_update(record, message)
                 elif message.si == m3ua.SI_ISUP:
                     decoded = isup.decode(message.body)
-                    self.verdict.counts[decoded.name] += 1
-                    handler = self.decoders.get(decoded.type)
+                    self.result.counts[decoded.name] += 1
+                    handler = self.handlers.get(decoded.type)
                     if handler is not None:
                         handler(record, decoded)
             except MessageError:
-                self.verdict.unreadable += 1
-        for leg in self.into.values():
-            if not leg.over and not leg.stood and not leg.released and leg.due + self.f.answer_grace < last:
-                self._break(1, leg.due, f"exchange {leg.target} never answered the call of {leg.calling}")
-        return self.verdict
-
-    def _break(self, rule: int, at: float, text: str) -> None:
-        self.verdict.rules[rule] += 1
-        self.verdict.broken.append(f"rule {rule} at {at:.1f} ms: {text}")
-
-    def _asleep(self, exchange: int, at: float) -> bool:
-        return any(x == exchange and begin <= at <= end + 1_000 for x, begin, end in self.f.asleep)
-
-    def _group(self, record: Record) -> dict[int, Leg]:
-        return self.on[min(record.source, record.target), max(record.source, record.target)]
-
-    # -- a call's messages
-
-    def _earliest(self, at: float) -> float:
-        """When a frame may have arrived that a relay read at `at`, since it was busy itself until then."""
-        return min(at, self.busy.get(int(at // SLOT), at))
-
-    def _circuits(self, message: IsupMessage) -> tuple[int, ...]:
+                self.result.unreadable += 1
+        for leg in self.accepted_legs.values():
+            if (
+                not leg.ended
+                and not leg.established_at
+                and not leg.released_at
+                and leg.answer_due_at + self.config.answer_grace < last_record_at
+            ):
+                self._add_violation(
+                    1,
+                    leg.answer_due_at,
+                    f"exchange {leg.target} never answered the call of {leg.calling_number}",
+                )
+        return self.result
+
+    def _add_violation(self, rule: int, at: float, text: str) -> None:
+        self.result.violations_by_rule[rule] += 1
+        self.result.violations.append(f"rule {rule} at {at:.1f} ms: {text}")
+
+    def _was_suspended(self, exchange: int, at: float) -> bool:
+        return any(
+            suspended == exchange and begin <= at <= end + 1_000
+            for suspended, begin, end in self.config.suspensions
+        )
+
+    def _legs_between(self, record: Record) -> dict[int, Leg]:
+        return self.legs_by_circuit[min(record.source, record.target), max(record.source, record.target)]
+
+    # -- messages of a call
+
+    def _earliest_arrival(self, at: float) -> float:
+        """Earliest possible arrival of a frame with timestamp `at`: a busy relay reads frames late."""
+        return min(at, self.busy_since.get(int(at // BUSY_SLOT_MS), at))
+
+    def _seized_circuits(self, message: IsupMessage) -> tuple[int, ...]:
         if message.parameters[isup.MEDIUM_REQUIREMENT] != bytes((isup.TWO_TIMES_64,)):
             return (message.cic,)
         if isup.CIRCUIT_ASSIGNMENT_MAP in message.parameters:
             return isup.decode_circuit_map(message.cic, message.parameters[isup.CIRCUIT_ASSIGNMENT_MAP])
         return (message.cic, message.cic + 1)
 
-    def _iam(self, record: Record, message: IsupMessage) -> None:
+    def _on_iam(self, record: Record, message: IsupMessage) -> None:
         at, source, target = record.at, record.source, record.target
-        calling = isup.decode_calling_number(message.parameters.get(isup.CALLING_NUMBER, b"\0\0"))
-        cics = self._circuits(message)
-        group = self._group(record)
-        on = [group.get(cic) for cic in cics]
-        met = {id(leg): leg for leg in on if leg is not None and not leg.over and not leg.stood}
-        met = {key: leg for key, leg in met.items() if leg.source == target and not leg.released}
-        self.verdict.counts["dual seizures"] += bool(met)
-        if any(_goes_on(leg, cics, target, source) for leg in met.values()):
-            return  # this IAM is ignored by the far end; its own sender drops it when it sees the other
-        for leg in met.values():
-            self._over(leg, at)
-        leg = Leg(source, target, message.cic, calling, at, cics)
+        calling_number = isup.decode_calling_number(message.parameters.get(isup.CALLING_NUMBER, b"\0\0"))
+        cics = self._seized_circuits(message)
+        legs = self._legs_between(record)
+        existing = [legs.get(cic) for cic in cics]
+        crossing = {
+            id(leg): leg for leg in existing if leg is not None and not leg.ended and not leg.established_at
+        }
+        crossing = {key: leg for key, leg in crossing.items() if leg.source == target and not leg.released_at}
+        self.result.counts["dual seizures"] += bool(crossing)
+        if any(_keeps_circuit(leg, cics, target, source) for leg in crossing.values()):
+            return  # the far end ignores this IAM, and its sender withdraws it when the other IAM arrives
+        for leg in crossing.values():
+            self._end_leg(leg, at)
+        leg = Leg(source, target, message.cic, calling_number, at, cics)
         for cic in cics:
-            group[cic] = leg
-        left = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER)).get("left", 0)
-        leg.due = at + min(left or self.f.deadline, self.f.deadline)
-        if target in self.f.exchanges:
-            self.into[target, calling] = leg
-            self.doubt.pop((target, calling), None)
-        if source in self.f.exchanges:
-            self._attempt(leg)
-        if target in self.f.offices:
-            self._arrival(at, self.f.offices[target])
-
-    def _attempt(self, leg: Leg) -> None:
-        server, at = leg.source, leg.began
-        accepted = self.into.get((server, leg.calling))
-        out = [other for other in self.outof[server, leg.calling] if not other.over and not other.released]
+            legs[cic] = leg
+        remaining = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER)).get("left", 0)
+        leg.answer_due_at = at + min(remaining or self.config.deadline, self.config.deadline)
+        if target in self.config.exchanges:
+            self.accepted_legs[target, calling_number] = leg
+            self.maybe_executed_at.pop((target, calling_number), None)
+        if source in self.config.exchanges:
+            self._check_attempt(leg)
+        if target in self.config.offices:
+            self._check_cold_overload(at, self.config.offices[target])
+
+    def _check_attempt(self, leg: Leg) -> None:
+        exchange, at = leg.source, leg.seized_at
+        accepted = self.accepted_legs.get((exchange, leg.calling_number))
+        still_open = [
+            other
+            for other in self.open_attempts[exchange, leg.calling_number]
+            if not other.ended and not other.released_at
+        ]
         if accepted is None:
-            self._break(
-                1, at, f"exchange {server} sent an attempt for {leg.calling}, a call it was not given"
+            self._add_violation(
+                1,
+                at,
+                f"exchange {exchange} sent an attempt for {leg.calling_number} but received no such call",
+            )
+        elif accepted.ended and self._earliest_arrival(at) - accepted.ended_at > 2 * TIMESTAMP_TOLERANCE_MS:
+            self._add_violation(
+                1, at, f"exchange {exchange} sent an attempt for {leg.calling_number} after its final answer"
+            )
+        if still_open:
+            self._add_violation(2, at, f"exchange {exchange} has two open attempts for {leg.calling_number}")
+        uncertain_since = self.maybe_executed_at.get((exchange, leg.calling_number))
+        if (
+            uncertain_since is not None
+            and at - uncertain_since < self.config.release - TIMESTAMP_TOLERANCE_MS
+        ):
+            self._add_violation(
+                5,
+                at,
+                f"exchange {exchange} repeated the attempt for {leg.calling_number} "
+                f"after {at - uncertain_since:.0f} ms",
             )
-        elif accepted.over and self._earliest(at) - accepted.ended > 2 * SKEW:
-            self._break(1, at, f"exchange {server} sent an attempt for {leg.calling} after its final answer")
-        if out:
-            self._break(2, at, f"exchange {server} has two attempts out for {leg.calling}")
-        since = self.doubt.get((server, leg.calling))
-        if since is not None and at - since < self.f.release - SKEW:
-            self._break(5, at, f"exchange {server} sent {leg.calling} again after {at - since:.0f} ms")
-        told = self.barred.get((server, leg.target))
-        if told is not None and at - told > self.f.drain_grace + 2 * SKEW:
-            self._break(3, at, f"exchange {server} sent to {leg.target} {at - told:.0f} ms after its drain")
-        self.outof[server, leg.calling] = [*out, leg]
-        accepted_from_callers = accepted is not None and accepted.source in self.f.callers
-        self.verdict.counts["attempts of origins"] += accepted_from_callers and leg.target in self.f.exchanges
-
-    def _stands(self, record: Record, message: IsupMessage) -> None:
-        leg = self._group(record).get(message.cic)
-        if leg is None or leg.source != record.target or (leg.over and leg.by != record.source):
+        unavailable_since = self.unavailable_since.get((exchange, leg.target))
+        if (
+            unavailable_since is not None
+            and at - unavailable_since > self.config.drain_grace + 2 * TIMESTAMP_TOLERANCE_MS
+        ):
+            self._add_violation(
+                3,
+                at,
+                f"exchange {exchange} sent an attempt to exchange {leg.target} "
+                f"{at - unavailable_since:.0f} ms after it became unavailable",
+            )
+        self.open_attempts[exchange, leg.calling_number] = [*still_open, leg]
+        accepted_from_callers = accepted is not None and accepted.source in self.config.callers
+        self.result.counts["attempts of origins"] += (
+            accepted_from_callers and leg.target in self.config.exchanges
+        )
+
+    def _on_answer(self, record: Record, message: IsupMessage) -> None:
+        leg = self._legs_between(record).get(message.cic)
+        if leg is None or leg.source != record.target or (leg.ended and leg.released_by != record.source):
             return
-        if record.source in self.f.exchanges:
-            if leg.released and leg.by == record.source:
-                self._break(1, record.at, f"exchange {record.source} answered {leg.calling} after its REL")
-            elif message.type in (isup.ACM, isup.CON) and leg.stood and not leg.released:
-                self._break(1, record.at, f"exchange {record.source} answered {leg.calling} twice")
-            elif not leg.stood:
-                self._in_time(leg, record)
-        if not leg.released:
-            leg.stood = leg.stood or record.at
-
-    def _in_time(self, leg: Leg, record: Record) -> None:
-        late = self._earliest(record.at) - leg.due - self.f.answer_grace - SKEW
-        if late > 0 and not leg.released and not self._asleep(record.source, record.at):
-            self._break(1, record.at, f"exchange {record.source}: {leg.calling} {late:.0f} ms late")
-
-    def _rel(self, record: Record, message: IsupMessage) -> None:
-        leg = self._group(record).get(message.cic)
-        if leg is None or leg.over or leg.released:
+        if record.source in self.config.exchanges:
+            if leg.released_at and leg.released_by == record.source:
+                self._add_violation(
+                    1,
+                    record.at,
+                    f"exchange {record.source} answered the call of {leg.calling_number} after its REL",
+                )
+            elif message.type in (isup.ACM, isup.CON) and leg.established_at and not leg.released_at:
+                self._add_violation(
+                    1, record.at, f"exchange {record.source} answered the call of {leg.calling_number} twice"
+                )
+            elif not leg.established_at:
+                self._check_answer_time(leg, record)
+        if not leg.released_at:
+            leg.established_at = leg.established_at or record.at
+
+    def _check_answer_time(self, leg: Leg, record: Record) -> None:
+        late = (
+            self._earliest_arrival(record.at)
+            - leg.answer_due_at
+            - self.config.answer_grace
+            - TIMESTAMP_TOLERANCE_MS
+        )
+        if late > 0 and not leg.released_at and not self._was_suspended(record.source, record.at):
+            self._add_violation(
+                1, record.at, f"exchange {record.source}: {leg.calling_number} {late:.0f} ms late"
+            )
+
+    def _on_rel(self, record: Record, message: IsupMessage) -> None:
+        leg = self._legs_between(record).get(message.cic)
+        if leg is None or leg.ended or leg.released_at:
             return
-        if record.source == leg.target and not leg.stood and record.source in self.f.exchanges:
-            self._in_time(leg, record)
-        leg.released, leg.by = record.at, record.source
+        if record.source == leg.target and not leg.established_at and record.source in self.config.exchanges:
+            self._check_answer_time(leg, record)
+        leg.released_at, leg.released_by = record.at, record.source
         leg.cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
-        if record.source == leg.target and leg.target in self.f.exchanges:
-            leg.over, leg.ended = True, record.at  # the final answer
-        self._in_doubt(leg, record.at, record.source)
+        if record.source == leg.target and leg.target in self.config.exchanges:
+            leg.ended, leg.ended_at = True, record.at  # the final answer
+        self._note_maybe_executed(leg, record.at, record.source)
 
-    def _in_doubt(self, leg: Leg, at: float, by: int) -> None:
-        """An attempt timed out, was cancelled, or ended in a way that may have left something taken."""
-        if leg.source not in self.f.exchanges or leg.stood:
+    def _note_maybe_executed(self, leg: Leg, at: float, released_by: int) -> None:
+        """Records an attempt that timed out, was cancelled or failed, but may have been executed."""
+        if leg.source not in self.config.exchanges or leg.established_at:
             return
-        if by == leg.source or leg.cause in (causes.TIMER_EXPIRY, causes.TEMPORARY_FAILURE):
-            self.doubt[leg.source, leg.calling] = at
+        if released_by == leg.source or leg.cause in (causes.TIMER_EXPIRY, causes.TEMPORARY_FAILURE):
+            self.maybe_executed_at[leg.source, leg.calling_number] = at
 
-    def _rlc(self, record: Record, message: IsupMessage) -> None:
-        leg = self._group(record).get(message.cic)
+    def _on_rlc(self, record: Record, message: IsupMessage) -> None:
+        leg = self._legs_between(record).get(message.cic)
         if leg is None:
             return
-        if leg.released and record.source != leg.by:
-            leg.over, leg.ended = True, leg.ended or record.at
-        elif not leg.released and record.source == leg.source:
-            # It acknowledges a release on its way as it seized the circuit: its call ended with it.
-            self._over(leg, record.at)
-
-    def _over(self, leg: Leg, at: float) -> None:
-        leg.over, leg.ended = True, leg.ended or at
-        leg.released = leg.released or at
-
-    def _lost(self, record: Record, message: IsupMessage) -> None:
-        leg = self._group(record).get(message.cic)
+        if leg.released_at and record.source != leg.released_by:
+            leg.ended, leg.ended_at = True, leg.ended_at or record.at
+        elif not leg.released_at and record.source == leg.source:
+            # The RLC acknowledges an earlier release that crossed the IAM: the new call ended with it.
+            self._end_leg(leg, record.at)
+
+    def _end_leg(self, leg: Leg, at: float) -> None:
+        leg.ended, leg.ended_at = True, leg.ended_at or at
+        leg.released_at = leg.released_at or at
+
+    def _on_ucic(self, record: Record, message: IsupMessage) -> None:
+        leg = self._legs_between(record).get(message.cic)
         if leg is not None:
-            self._over(leg, record.at)
+            self._end_leg(leg, record.at)
 
-    def _reset(self, record: Record, message: IsupMessage) -> None:
+    def _on_reset(self, record: Record, message: IsupMessage) -> None:
         count = 1
         if message.type == isup.GRS:
             count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
-        group = self._group(record)
+        legs = self._legs_between(record)
         for cic in range(message.cic, message.cic + count):
-            self._cut(group.get(cic), record.at)
+            self._cut_leg(legs.get(cic), record.at)
 
-    def _cut(self, leg: Leg | None, at: float) -> None:
-        if leg is None or leg.over:
+    def _cut_leg(self, leg: Leg | None, at: float) -> None:
+        if leg is None or leg.ended:
             return
-        if not leg.stood and not leg.released and leg.source in self.f.exchanges:
-            self.doubt[leg.source, leg.calling] = at
-        self._over(leg, at)
-
-    # -- links, the list, processors
-
-    def _link(self, record: Record) -> None:
-        if record.kind == tap.DOWN:
-            for leg in self._group(record).values():
-                self._cut(leg, record.at)
-        elif record.source in self.f.lists:
-            for key in [key for key in self.barred if key[0] == record.target]:
-                del self.barred[key]
-
-    def _state(self, record: Record, message: m3ua.Message) -> None:
-        if record.source not in self.f.lists or message.kind not in (m3ua.DAVA, m3ua.DRST, m3ua.DUNA):
+        if not leg.established_at and not leg.released_at and leg.source in self.config.exchanges:
+            self.maybe_executed_at[leg.source, leg.calling_number] = at
+        self._end_leg(leg, at)
+
+    # -- links, exchange list, processors
+
+    def _on_link_change(self, record: Record) -> None:
+        if record.kind == tap.LINK_DOWN:
+            for leg in self._legs_between(record).values():
+                self._cut_leg(leg, record.at)
+        elif record.source in self.config.list_services:
+            for key in [key for key in self.unavailable_since if key[0] == record.target]:
+                del self.unavailable_since[key]
+
+    def _on_list_update(self, record: Record, message: m3ua.Message) -> None:
+        if record.source not in self.config.list_services or message.kind not in (
+            m3ua.DAVA,
+            m3ua.DRST,
+            m3ua.DUNA,
+        ):
             return
         words = dict(part.split("=") for part in message.info_string().split())
         version = int(words.get("v", 0))
         for _, code in message.affected_point_codes():
-            if version < self.versions.get((record.target, code), 0):
-                continue  # older news that came later
-            self.versions[record.target, code] = version
+            if version < self.list_versions.get((record.target, code), 0):
+                continue  # an older update that arrived later
+            self.list_versions[record.target, code] = version
             if message.kind == m3ua.DAVA:
-                self.barred.pop((record.target, code), None)
+                self.unavailable_since.pop((record.target, code), None)
                 if int(words.get("start", 0)):
-                    self.began[code] = record.at - int(words["age"])
+                    self.processor_started_at[code] = record.at - int(words["age"])
             else:
-                self.barred.setdefault((record.target, code), record.at)
+                self.unavailable_since.setdefault((record.target, code), record.at)
 
-    def _arrival(self, at: float, exchange: int) -> None:
-        """Set-ups that reach a cold processor, in a sliding window, against what it can do by then."""
-        began = self.began.get(exchange)
-        if began is None or at - began >= self.f.warm_after:
+    def _check_cold_overload(self, at: float, exchange: int) -> None:
+        """Compares the set-ups in a sliding window with the capacity of a cold processor (rule 4)."""
+        started_at = self.processor_started_at.get(exchange)
+        if started_at is None or at - started_at >= self.config.warm_after:
             return
-        recent = self.arrived[exchange]
+        recent = self.recent_setups[exchange]
         recent.append(at)
-        while at - recent[0] > self.f.overload_for:
+        while at - recent[0] > self.config.overload_for:
             recent.popleft()
-        share = self.f.cold_share + (1 - self.f.cold_share) * max(0.0, (at - began) / self.f.warm_after)
-        bears = self.f.overload_factor * share * self.f.overload_for / self.f.setup + self.f.slack
-        if len(recent) > bears:
-            self._break(
-                4, at, f"{len(recent)} set-ups reached cold exchange {exchange}; it bears {bears:.0f}"
+        capacity_share = self.config.cold_share + (1 - self.config.cold_share) * max(
+            0.0, (at - started_at) / self.config.warm_after
+        )
+        max_setups = (
+            self.config.overload_factor * capacity_share * self.config.overload_for / self.config.setup_time
+            + self.config.setup_slack
+        )
+        if len(recent) > max_setups:
+            self._add_violation(
+                4,
+                at,
+                f"{len(recent)} set-ups reached cold exchange {exchange}; the limit is {max_setups:.0f}",
             )
             recent.clear()
 
 
-def _goes_on(held: Leg, cics: tuple[int, ...], holder: int, other: int) -> bool:
-    """Whether the call already on a circuit wins a dual seizure: the wider one, else by Q.764, 2.9.1.4."""
-    if len(held.cics) != len(cics):
-        return len(held.cics) > len(cics)
-    place = min(*held.cics, *cics) // len(cics)
-    return place % 2 == (0 if holder > other else 1)
+def _keeps_circuit(existing: Leg, cics: tuple[int, ...], existing_source: int, other_side: int) -> bool:
+    """Whether the existing call wins a dual seizure: the wider call, otherwise as in Q.764, 2.9.1.4."""
+    if len(existing.cics) != len(cics):
+        return len(existing.cics) > len(cics)
+    circuit_index = min(*existing.cics, *cics) // len(cics)
+    return circuit_index % 2 == (0 if existing_source > other_side else 1)
--- a/ospreybridge/lab/day.py
+++ b/ospreybridge/lab/day.py
@@ -1,6 +1,7 @@
-"""Plays a scripted day on loopback: call servers as processes, relays between them, stand-ins in this one.
+"""Runs a scripted day on loopback: call servers and relays as child processes, stand-ins in this process.
 
-The report counts what callers saw; the rules are judged by the checker from the relays' records alone.
+The report counts outcomes as the callers experienced them. The checker verifies the rules from the records of
+the relays alone.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.lab import tap
-from ospreybridge.lab.checker import Checker, Facts, Verdict
+from ospreybridge.lab.checker import Checker, CheckerConfig, CheckResult
 from ospreybridge.lab.harness import CALLERS, CENTRE, LIST, OFFICE
-from ospreybridge.lab.relay import DOMAIN, SHARED, shared_set
+from ospreybridge.lab.relay import DOMAIN, SHARED, load_shared_credentials
 from ospreybridge.lab.script import Day, Trouble
 from ospreybridge.net.loop import EventLoop, Task
 from ospreybridge.net.tls import TlsContexts
@@ -37,44 +38,48 @@
 from ospreybridge.standins.listservice import ListLink, TheList
 from ospreybridge.standins.office import Office
 
-START_WITHIN = 60_000.0  # ms for a fleet of any size to come up
+START_TIMEOUT_MS = 60_000.0
 
 
 @dataclass(slots=True)
-class Server:
+class CallServerProcess:
+    """A call server of the fleet and its process."""
+
     number: int
     zone: int
-    file: Path
+    settings_file: Path
     process: subprocess.Popen[bytes] | None = None
-    port: int = 0
+    port: int = 0  # 0: not listening
 
 
 @dataclass(slots=True)
 class Report:
-    """What a day came to. `tally`: callers' view; `verdict`: the checker's."""
+    """The result of a day: `tally` counts the outcomes of calls as their callers saw them."""
 
     name: str
     tally: Counter[str]
-    verdict: Verdict
+    check_result: CheckResult
     delay_ms: dict[str, float]
     seconds: float
     faults: list[str]
-    processor_s: float
+    cpu_s: float
     notes: list[str] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
-        return not self.verdict.broken and not self.faults
+        """Whether all rules were kept and no process or stand-in reported a fault."""
+        return not self.check_result.violations and not self.faults
 
     def data(self) -> dict[str, Any]:
-        again = self.tally["offered again after a cut"]
-        offered = max(1, self.tally["offered"] + again)
-        counts = self.verdict.counts
+        """The report in its JSON form."""
+        offered_again = self.tally["offered again after a cut"]
+        offered = max(1, self.tally["offered"] + offered_again)
+        counts = self.check_result.counts
         return {
             "day": self.name,
             "seconds": round(self.seconds, 1),
             "offered": self.tally["offered"],
-            "again_after_cuts": again,
+            "again_after_cuts": offered_again,
             "in_time": self.tally["in time"],
             "in_time_share": round(self.tally["in time"] / offered, 4),
             "late": self.tally["late"],
@@ -87,95 +92,107 @@
             "dual_seizures": counts["dual seizures"],
             "delay_ms": self.delay_ms,
             "messages": dict(sorted(counts.items())),
-            "unreadable": self.verdict.unreadable,
-            "rules_broken": {str(k): v for k, v in sorted(self.verdict.rules.items())},
-            "broken": self.verdict.broken[:50],
+            "unreadable": self.check_result.unreadable,
+            "rules_broken": {str(k): v for k, v in sorted(self.check_result.violations_by_rule.items())},
+            "broken": self.check_result.violations[:50],
             "faults": self.faults[:50],
-            "processor_s_per_call": round(self.processor_s / offered, 5),
+            "processor_s_per_call": round(self.cpu_s / offered, 5),
             "notes": self.notes,
         }
 
 
 class Player:
-    def __init__(self, day: Day, folder: Path, say: Callable[[str], None]) -> None:
-        self.day, self.folder, self.say = day, folder, say
-        folder.mkdir(parents=True, exist_ok=True)
+    """Starts the fleet of a day, generates its traffic and troubles, and reports the result."""
+
+    def __init__(self, day: Day, work_dir: Path, log: Callable[[str], None]) -> None:
+        self.day, self.work_dir, self.log = day, work_dir, log
+        work_dir.mkdir(parents=True, exist_ok=True)
         self.random = np.random.default_rng(day.seed)
         self.loop = EventLoop()
         self.tally: Counter[str] = Counter()
-        self.delays = HdrHistogram(1, 120_000_000, 3)
-        self.count: int = day.fleet["exchanges"]
-        self.numbers = range(1, self.count + 1)
+        self.setup_delays = HdrHistogram(1, 120_000_000, 3)
+        self.exchange_count: int = day.fleet["exchanges"]
+        self.exchange_numbers = range(1, self.exchange_count + 1)
         zones = day.fleet["zones"]
-        self.servers = {n: Server(n, (n - 1) % zones, folder / f"cs{n}.kdl") for n in self.numbers}
-        self.contexts: TlsContexts | None = None
+        self.servers = {
+            n: CallServerProcess(n, (n - 1) % zones, work_dir / f"cs{n}.kdl") for n in self.exchange_numbers
+        }
+        self.tls_contexts: TlsContexts | None = None
         if day.fleet["tls"]:
-            self._certify()
+            self._issue_certificates()
         self.relays: list[subprocess.Popen[bytes]] = []
-        self.taps: list[Path] = []
-        self.ports: dict[tuple[int, int], int] = {}  # the relays' port by dialling and dialled point code
+        self.tap_files: list[Path] = []
+        # (dialling point code, dialled point code) -> port on which a relay listens.
+        self.relay_ports: dict[tuple[int, int], int] = {}
         self.offices: dict[int, Office] = {}
         self.callers: dict[int, Callers] = {}
-        self.asleep: list[tuple[int, float, float]] = []
-        self.weight = dict.fromkeys(self.numbers, 1.0)
-        self.burst = 1.0
-        self.serial = 0
-        self.ending = False
+        self.suspensions: list[tuple[int, float, float]] = []
+        self.origin_weights = dict.fromkeys(self.exchange_numbers, 1.0)
+        self.traffic_factor = 1.0
+        self.call_count = 0
+        self.stopping = False
         self.notes: list[str] = []
 
-    def _certify(self) -> None:
-        """A set for each call server, and one that relays and stand-ins share: it names everybody."""
-        authority = self.authority = CertificateAuthority.create(self.folder, 2.0)
-        servers = [f"cs{n}" for n in self.numbers]
+    def _issue_certificates(self) -> None:
+        """Issues a certificate for each call server and one with all names for the relays and stand-ins."""
+        authority = self.authority = CertificateAuthority.create(self.work_dir, 2.0)
+        servers = [f"cs{n}" for n in self.exchange_numbers]
         for name in servers:
             authority.issue(name, [f"{name}.{DOMAIN}"], days=1.0)
-        everybody = [*servers, "office", "callers", "list", "centre"]
-        authority.issue(SHARED, [f"{name}.{DOMAIN}" for name in everybody], days=1.0)
-        self.contexts = TlsContexts(shared_set(self.folder))
+        all_names = [*servers, "office", "callers", "list", "centre"]
+        authority.issue(SHARED, [f"{name}.{DOMAIN}" for name in all_names], days=1.0)
+        self.tls_contexts = TlsContexts(load_shared_credentials(self.work_dir))
 
     # -- settings of the call servers
 
-    def context(self, a: int, b: int) -> int:
+    def routing_context(self, a: int, b: int) -> int:
+        """The routing context of the association between two point codes."""
         return min(a, b) * 100_000 + max(a, b)
 
-    def prefix(self, number: int) -> str:
+    def called_prefix(self, number: int) -> str:
+        """The prefix of called numbers that belong to an exchange."""
         return f"37{number:03d}"
 
-    def settings(self, n: int) -> str:
-        """One call server's file. Of two exchanges the one with the lower number dials."""
-        day, ms = self.day, self.day.ms
+    def settings_text(self, n: int) -> str:
+        """The settings file of call server `n`. Of two exchanges, the one with the lower number dials."""
+        day, ms = self.day, self.day.scale_ms
         server = self.servers[n]
         lines = [
             f'exchange "cs{n}" number={n} point-code={n} zone="z{server.zone}" listen="127.0.0.1:0" '
-            f'{{ prefix "{self.prefix(n)}"; }}'
+            f'{{ prefix "{self.called_prefix(n)}"; }}'
         ]
-        for m in self.numbers:
+        for m in self.exchange_numbers:
             if m != n:
-                dial = f' dial="127.0.0.1:{self.ports[n, m]}"' if (n, m) in self.ports else ""
+                dial = f' dial="127.0.0.1:{self.relay_ports[n, m]}"' if (n, m) in self.relay_ports else ""
                 lines.append(
-                    f'peer "cs{m}" role="exchange" point-code={m} context={self.context(n, m)} number={m} '
-                    f'{self.link(f"cs{m}")} zone="z{self.servers[m].zone}"{dial} '
-                    f'{{ circuits "1-{day.fleet["circuits"]}"; prefix "{self.prefix(m)}"; }}'
+                    f'peer "cs{m}" role="exchange" point-code={m} context={self.routing_context(n, m)} '
+                    f'number={m} {self.transport_property(f"cs{m}")} zone="z{self.servers[m].zone}"{dial} '
+                    f'{{ circuits "1-{day.fleet["circuits"]}"; prefix "{self.called_prefix(m)}"; }}'
                 )
         for name, role, code, size in (
             ("office", "office", OFFICE + n, day.fleet["lines"]),
             ("callers", "callers", CALLERS + n, day.fleet["access"]),
         ):
-            given = f'role="{role}" {self.link(name)} point-code={code} context={self.context(n, code)}'
-            lines.append(f'peer "{name}" {given} {{ circuits "1-{size}"; }}')
+            properties = (
+                f'role="{role}" {self.transport_property(name)} point-code={code} '
+                f"context={self.routing_context(n, code)}"
+            )
+            lines.append(f'peer "{name}" {properties} {{ circuits "1-{size}"; }}')
         for name, code in (("list", LIST), ("centre", CENTRE)):
-            given = f"{self.link(name)} point-code={code} context={self.context(n, code)}"
-            lines.append(f'peer "{name}" role="{name}" {given}')
-        for part in day.classes:
+            properties = (
+                f"{self.transport_property(name)} point-code={code} context={self.routing_context(n, code)}"
+            )
+            lines.append(f'peer "{name}" role="{name}" {properties}')
+        for node in day.classes:
             lines.append(
-                f'class "{part.argument}" on-time={ms(part["on-time"])} deadline={ms(part["deadline"])} '
-                f"importance={part['importance']} late-worth={part['late-worth']} width={part['width']} "
-                f"hold={ms(part['hold'])} {{ category {part['category']}; }}"
+                f'class "{node.argument}" on-time={ms(node["on-time"])} deadline={ms(node["deadline"])} '
+                f"importance={node['importance']} late-worth={node['late-worth']} width={node['width']} "
+                f"hold={ms(node['hold'])} {{ category {node['category']}; }}"
             )
-        for part in day.tenants:
-            prefixes = " ".join(f'"{digits}"' for digits in part.all_arguments("calling-prefix"))
+        for node in day.tenants:
+            prefixes = " ".join(f'"{digits}"' for digits in node.all_arguments("calling-prefix"))
             lines.append(
-                f'tenant "{part.argument}" share={part["share"]} quota={part["quota"] * day.factor} '
+                f'tenant "{node.argument}" share={node["share"]} quota={node["quota"] * day.speedup} '
                 f"{{ calling-prefix {prefixes}; }}"
             )
         rules = dict(day.rules)
@@ -184,9 +201,9 @@
         limits = dict(day.limits) | {"retry-after": ms(day.limits["retry-after"])}
         goal = {key: value for key, value in day.goal.items() if value is not None}
         for name, values in (("rules", rules), ("limits", limits), ("goal", goal)):
-            lines.append(name + " " + " ".join(f"{k}={_kdl(v)}" for k, v in values.items()))
+            lines.append(name + " " + " ".join(f"{k}={_kdl_value(v)}" for k, v in values.items()))
         lines.append(
-            f"module tick={ms(5.0)} seed={day.seed * 1_000 + n} advice={_kdl(day.module['advice'])} "
+            f"module tick={ms(5.0)} seed={day.seed * 1_000 + n} advice={_kdl_value(day.module['advice'])} "
             f"over-share-worth={day.module['over-share-worth']}"
         )
         if day.fleet["tls"]:
@@ -198,30 +215,35 @@
         lines.append(f"timers t1={ms(4_000)} t5={ms(20_000)} t16={ms(4_000)} t22={ms(4_000)} t12={ms(4_000)}")
         return "\n".join(lines) + "\n"
 
-    def link(self, name: str) -> str:
+    def transport_property(self, name: str) -> str:
+        """The property of a `peer` node that selects TLS with the expected name, or plain TCP."""
         return f'tls="{name}.{DOMAIN}"' if self.day.fleet["tls"] else "plain=true"
 
     # -- processes
 
-    def order(self, **order: Any) -> None:
+    def command_relays(self, **command: Any) -> None:
+        """Sends a command to all relays; a relay ignores links that it does not have."""
         for relay in self.relays:
             assert relay.stdin is not None
-            relay.stdin.write(json.dumps(order).encode() + b"\n")
+            relay.stdin.write(json.dumps(command).encode() + b"\n")
             relay.stdin.flush()
 
     def start_relays(self) -> None:
-        many = self.day.fleet["relays"]
-        near, far = self.day.fleet["delay"], self.day.fleet["far-delay"]
-        links: list[list[list[float]]] = [[] for _ in range(many)]
-        for n in self.numbers:
-            for m in range(n + 1, self.count + 1):
-                delay = near if self.servers[n].zone == self.servers[m].zone else far
-                links[m % many].append([n, m, self.day.ms(delay), self.context(n, m)])
+        """Starts the relay processes, distributes the links among them and reads their ports."""
+        relay_count = self.day.fleet["relays"]
+        delay, far_delay = self.day.fleet["delay"], self.day.fleet["far-delay"]
+        links: list[list[list[float]]] = [[] for _ in range(relay_count)]
+        for n in self.exchange_numbers:
+            for m in range(n + 1, self.exchange_count + 1):
+                link_delay = delay if self.servers[n].zone == self.servers[m].zone else far_delay
+                links[m % relay_count].append(
+                    [n, m, self.day.scale_ms(link_delay), self.routing_context(n, m)]
+                )
             for code in (OFFICE + n, CALLERS + n, LIST, CENTRE):
-                links[n % many].append([code, n, 0, self.context(code, n)])
-        for index in range(many):
-            path = self.folder / f"relay{index}.tap"
-            self.taps.append(path)
+                links[n % relay_count].append([code, n, 0, self.routing_context(code, n)])
+        for index in range(relay_count):
+            path = self.work_dir / f"relay{index}.tap"
+            self.tap_files.append(path)
             process = subprocess.Popen(
                 [sys.executable, "-m", "ospreybridge.lab.relay", str(path), str(self.day.seed + index)],
                 stdin=subprocess.PIPE,
@@ -229,28 +251,29 @@
             )
             self.relays.append(process)
             assert process.stdin is not None and process.stdout is not None
-            keys = str(self.folder) if self.day.fleet["tls"] else ""
-            order = {"do": "links", "links": links[index], "keys": keys}
-            process.stdin.write(json.dumps(order).encode() + b"\n")
+            keys = str(self.work_dir) if self.day.fleet["tls"] else ""
+            command = {"do": "links", "links": links[index], "keys": keys}
+            process.stdin.write(json.dumps(command).encode() + b"\n")
             process.stdin.flush()
         for process in self.relays:
             assert process.stdout is not None
             for source, target, port in json.loads(process.stdout.readline()):
-                self.ports[source, target] = port
+                self.relay_ports[source, target] = port
 
     def start_server(self, n: int) -> None:
+        """Writes the settings of call server `n` and starts it; the relays learn its port once it listens."""
         server = self.servers[n]
-        port_file = self.folder / f"cs{n}.port"
+        port_file = self.work_dir / f"cs{n}.port"
         port_file.unlink(missing_ok=True)
-        server.file.write_text(self.settings(n))
-        with (self.folder / f"cs{n}.log").open("ab") as log:
+        server.settings_file.write_text(self.settings_text(n))
+        with (self.work_dir / f"cs{n}.log").open("ab") as log:
             server.process = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
                     "ospreybridge",
                     "serve",
-                    str(server.file),
+                    str(server.settings_file),
                     "--port-file",
                     str(port_file),
                 ],
@@ -259,17 +282,18 @@
             )
         self.loop.spawn(self._await_port(server, port_file))
 
-    def _await_port(self, server: Server, port_file: Path) -> Task:
+    def _await_port(self, server: CallServerProcess, port_file: Path) -> Task:
         while not (port_file.exists() and port_file.read_text().strip()):
             yield "sleep", 20.0
         server.port = int(port_file.read_text())
-        self.order(do="port", of=server.number, port=server.port)
+        self.command_relays(do="port", of=server.number, port=server.port)
 
     def start_standins(self) -> None:
+        """Creates the exchange list, the traffic centre, and the office and callers of each exchange."""
         day, loop = self.day, self.loop
-        self.list = TheList(loop, list(self.numbers), day.list_delay, day.seed)
-        centre = TheCentre(loop, day.centre_every)
-        for n in self.numbers:
+        self.exchange_list = TheList(loop, list(self.exchange_numbers), day.list_delay_ms, day.seed)
+        centre = TheCentre(loop, day.centre_interval_ms)
+        for n in self.exchange_numbers:
 
             def place(code: int, size: int = 0, n: int = n) -> Place:
                 cics = parse_cic_ranges([f"1-{size}"]) if size else ()
@@ -277,339 +301,357 @@
                     "cs",
                     "exchange",
                     n,
-                    self.context(n, code),
+                    self.routing_context(n, code),
                     dial_address=("", 0),
                     cics=cics,
                     tls_name=f"cs{n}.{DOMAIN}",
                 )
 
                 def address() -> tuple[str, int] | None:
-                    return ("127.0.0.1", self.ports[code, n]) if self.servers[n].port else None
+                    return ("127.0.0.1", self.relay_ports[code, n]) if self.servers[n].port else None
 
-                return Place(loop, code, server, address, self.contexts)
+                return Place(loop, code, server, address, self.tls_contexts)
 
             lines, access = day.fleet["lines"], day.fleet["access"]
             self.offices[n] = Office(place(OFFICE + n, lines), day.processor, day.seed + n)
             self.callers[n] = Callers(
-                place(CALLERS + n, access), day.habits, day.seed * 7 + n, self.tally, self.delays
+                place(CALLERS + n, access), day.habits, day.seed * 7 + n, self.tally, self.setup_delays
             )
-            ListLink(place(LIST), self.list)
+            ListLink(place(LIST), self.exchange_list)
             CentreLink(place(CENTRE), centre, n)
 
-    def ready(self) -> bool:
-        up = all(self.offices[n].up and self.callers[n].up for n in self.numbers)
-        return up and all(link.up for link in self.list.subscribers)
+    def all_associations_up(self) -> bool:
+        """Whether the associations of all offices, callers and list links are active."""
+        up = all(self.offices[n].up and self.callers[n].up for n in self.exchange_numbers)
+        return up and all(link.up for link in self.exchange_list.subscribers)
 
     # -- traffic
 
-    def arrivals(self) -> Task:
-        """Open loop: arrivals are drawn ahead of all answers; a slow fleet slows no caller."""
+    def generate_calls(self) -> Task:
+        """Generates open-loop traffic: arrivals do not depend on answers, so a slow fleet slows no caller."""
         day, random = self.day, self.random
-        shares = np.array([kind.share for kind in day.kinds])
+        shares = np.array([call_kind.share for call_kind in day.call_kinds])
         shares = shares / shares.sum()
-        prefixes = [p for part in day.tenants for p in part.all_arguments("calling-prefix")[:1]] or ["5"]
-        weights = np.array([part["share"] for part in day.tenants] or [1.0])
+        prefixes = [p for node in day.tenants for p in node.all_arguments("calling-prefix")[:1]] or ["5"]
+        weights = np.array([node["share"] for node in day.tenants] or [1.0])
         weights = weights / weights.sum() if weights.sum() else np.full(len(weights), 1 / len(weights))
-        due = self.loop.now
-        while not self.ending:
-            total = sum(self.weight.values())
-            due += float(random.exponential(1_000.0 / (day.rate * self.burst * total / self.count)))
-            if due > self.loop.now:
-                yield "sleep", due - self.loop.now
-            if self.ending:
+        next_arrival = self.loop.now
+        while not self.stopping:
+            total = sum(self.origin_weights.values())
+            next_arrival += float(
+                random.exponential(
+                    1_000.0 / (day.calls_per_s * self.traffic_factor * total / self.exchange_count)
+                )
+            )
+            if next_arrival > self.loop.now:
+                yield "sleep", next_arrival - self.loop.now
+            if self.stopping:
                 return
-            origin = self._origin(total)
-            dest = 1 + (origin + int(random.integers(self.count - 1))) % self.count
-            kind = day.kinds[int(random.choice(len(day.kinds), p=shares))]
+            origin = self._draw_origin(total)
+            destination = 1 + (origin + int(random.integers(self.exchange_count - 1))) % self.exchange_count
+            call_kind = day.call_kinds[int(random.choice(len(day.call_kinds), p=shares))]
             prefix = prefixes[int(random.choice(len(prefixes), p=weights))]
-            self.serial += 1
-            calling = f"{prefix}{self.serial:0{min(9, 15 - len(prefix))}d}"
-            self.callers[origin].wish(kind, calling, self.prefix(dest) + f"{self.serial % 10_000:04d}")
+            self.call_count += 1
+            calling_number = f"{prefix}{self.call_count:0{min(9, 15 - len(prefix))}d}"
+            self.callers[origin].wish(
+                call_kind, calling_number, self.called_prefix(destination) + f"{self.call_count % 10_000:04d}"
+            )
 
-    def _origin(self, total: float) -> int:
+    def _draw_origin(self, total: float) -> int:
         point = float(self.random.random()) * total
-        for n, weight in self.weight.items():
+        for n, weight in self.origin_weights.items():
             point -= weight
             if point < 0:
                 return n
-        return self.count
+        return self.exchange_count
 
     # -- troubles
 
-    def chosen(self, trouble: Trouble) -> list[int]:
+    def affected_exchanges(self, trouble: Trouble) -> list[int]:
+        """The exchanges that the script names, otherwise a random selection of `share` of them."""
         if trouble.exchanges:
             return list(trouble.exchanges)
-        many = max(1, round(trouble.share * self.count))
-        return sorted(int(n) + 1 for n in self.random.permutation(self.count)[:many])
-
-    def trouble(self, trouble: Trouble) -> Task:
-        ms = self.day.ms
-        yield "sleep", ms(trouble.at * 1_000)
-        names = self.chosen(trouble)
-        self.say(f"{trouble.at:6.1f} s  {trouble.kind}: {self._about(trouble, names)}")
-        run = getattr(self, "_" + trouble.kind.replace("-", "_"))
-        yield from run(trouble, names, ms(trouble.lasts * 1_000))
-
-    def _about(self, trouble: Trouble, names: list[int]) -> str:
+        affected_count = max(1, round(trouble.share * self.exchange_count))
+        return sorted(int(n) + 1 for n in self.random.permutation(self.exchange_count)[:affected_count])
+
+    def run_trouble(self, trouble: Trouble) -> Task:
+        """Waits for the start of a trouble and calls the method named "_" and its kind."""
+        scale_ms = self.day.scale_ms
+        yield "sleep", scale_ms(trouble.at * 1_000)
+        affected = self.affected_exchanges(trouble)
+        self.log(f"{trouble.at:6.1f} s  {trouble.kind}: {self._describe(trouble, affected)}")
+        run_kind = getattr(self, "_" + trouble.kind.replace("-", "_"))
+        yield from run_kind(trouble, affected, scale_ms(trouble.duration * 1_000))
+
+    def _describe(self, trouble: Trouble, affected: list[int]) -> str:
         if trouble.kind in ("burst", "stale-list", "retry-abuse", "peer-messages-lost", "lost-circuits"):
-            return f"for {trouble.lasts:g} s"
-        return f"exchanges {', '.join(map(str, names))} for {trouble.lasts:g} s"
-
-    def _hot_callers(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        self.weight |= dict.fromkeys(names, trouble.factor)
-        yield "sleep", lasts
-        self.weight |= dict.fromkeys(names, 1.0)
-
-    def _burst(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        self.burst = trouble.factor
-        yield "sleep", lasts
-        self.burst = 1.0
-
-    def _retry_abuse(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        usual = self.day.habits
-        rude = replace(usual, redials=usual.redials + 4, redial_after=usual.redial_after / 4, heeds=0.0)
+            return f"for {trouble.duration:g} s"
+        return f"exchanges {', '.join(map(str, affected))} for {trouble.duration:g} s"
+
+    def _hot_callers(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        self.origin_weights |= dict.fromkeys(affected, trouble.factor)
+        yield "sleep", duration
+        self.origin_weights |= dict.fromkeys(affected, 1.0)
+
+    def _burst(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        self.traffic_factor = trouble.factor
+        yield "sleep", duration
+        self.traffic_factor = 1.0
+
+    def _retry_abuse(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        normal = self.day.habits
+        abusive = replace(normal, redials=normal.redials + 4, redial_after=normal.redial_after / 4, heeds=0.0)
         for callers in self.callers.values():
-            callers.habits = rude
-        yield "sleep", lasts
+            callers.habits = abusive
+        yield "sleep", duration
         for callers in self.callers.values():
-            callers.habits = usual
+            callers.habits = normal
 
-    def _cut_calls(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        cut = sum(c.cut(trouble.share, self.day.ms(trouble.back * 1_000)) for c in self.callers.values())
-        self.notes.append(f"{cut} standing calls cut at {trouble.at:g} s")
-        yield "sleep", lasts
+    def _cut_calls(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        cut = sum(
+            c.cut(trouble.share, self.day.scale_ms(trouble.return_within * 1_000))
+            for c in self.callers.values()
+        )
+        self.notes.append(f"{cut} established calls cut at {trouble.at:g} s")
+        yield "sleep", duration
 
-    def _slow(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        for n in names:
+    def _slow(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        for n in affected:
             self.offices[n].slow = trouble.factor
-        yield "sleep", lasts
-        for n in names:
+        yield "sleep", duration
+        for n in affected:
             self.offices[n].slow = 1.0
 
-    def _hang(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        for n in names:
+    def _hang(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        for n in affected:
             self.offices[n].hung = True
-        yield "sleep", lasts
-        for n in names:
+        yield "sleep", duration
+        for n in affected:
             self.offices[n].hung = False
 
-    def _silent(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        yield from self._hang(trouble, names, lasts)
-        for n in names:
-            self._restart(n)
+    def _silent(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        yield from self._hang(trouble, affected, duration)
+        for n in affected:
+            self._restart_office(n)
 
-    def _restart(self, n: int) -> None:
+    def _restart_office(self, n: int) -> None:
         self.offices[n].drop()
         self.offices[n].restart()
-        self.list.change(n, m3ua.DAVA, started=True)
+        self.exchange_list.change(n, m3ua.DAVA, started=True)
 
-    def _crash(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        for n in names:
+    def _crash(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        for n in affected:
             self.offices[n].die()
-            self.list.change(n, m3ua.DUNA)
-        yield "sleep", lasts
-        for n in names:
-            self._restart(n)
-
-    def _deploy(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        """One after another: drains, stops, comes back cold."""
-        each = lasts / max(1, len(names))
-        for n in names:
-            self.list.change(n, m3ua.DRST)
-            grace = min(self.day.ms(trouble.grace * 1_000), each * 0.7)
+            self.exchange_list.change(n, m3ua.DUNA)
+        yield "sleep", duration
+        for n in affected:
+            self._restart_office(n)
+
+    def _deploy(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        """Drains, stops and restarts the processors one after another; each comes back cold."""
+        duration_per_exchange = duration / max(1, len(affected))
+        for n in affected:
+            self.exchange_list.change(n, m3ua.DRST)
+            grace = min(self.day.scale_ms(trouble.grace * 1_000), duration_per_exchange * 0.7)
             yield "sleep", grace
             self.offices[n].die()
-            self.list.change(n, m3ua.DUNA)
-            yield "sleep", each - grace
-            self._restart(n)
+            self.exchange_list.change(n, m3ua.DUNA)
+            yield "sleep", duration_per_exchange - grace
+            self._restart_office(n)
 
-    def _lost_circuits(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
+    def _lost_circuits(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         cics = [
-            c
-            for c in parse_cic_ranges([f"1-{self.day.fleet['circuits']}"])
+            cic
+            for cic in parse_cic_ranges([f"1-{self.day.fleet['circuits']}"])
             if self.random.random() < trouble.share
         ]
         pairs = [
             (a, b)
-            for a in self.numbers
-            for b in range(a + 1, self.count + 1)
+            for a in self.exchange_numbers
+            for b in range(a + 1, self.exchange_count + 1)
             if self.servers[a].zone != self.servers[b].zone or self.day.fleet["zones"] == 1
         ]
         for a, b in pairs:
-            self.order(do="block", a=a, b=b, cics=cics)
-        yield "sleep", lasts
+            self.command_relays(do="block", a=a, b=b, cics=cics)
+        yield "sleep", duration
         for a, b in pairs:
-            self.order(do="unblock", a=a, b=b, cics=cics)
+            self.command_relays(do="unblock", a=a, b=b, cics=cics)
 
-    def _renew_keys(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        def run() -> None:
-            for n in names:
+    def _renew_keys(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        def issue_certificates() -> None:
+            for n in affected:
                 self.authority.issue(f"cs{n}", [f"cs{n}.{DOMAIN}"], days=1.0)
 
-        # Replacing a file may wait for the disk; the callers of this process must not.
-        threading.Thread(target=run).start()
-        yield "sleep", lasts
+        # Writing files can block on the disk, which must not delay the callers in this process.
+        threading.Thread(target=issue_certificates).start()
+        yield "sleep", duration
 
-    def _call_server_killed(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        for n in names:
+    def _call_server_killed(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        for n in affected:
             process = self.servers[n].process
             assert process is not None
             process.send_signal(signal.SIGKILL)
             process.wait()
             self.servers[n].port = 0
-        yield "sleep", lasts
-        for n in names:
+        yield "sleep", duration
+        for n in affected:
             self.start_server(n)
 
-    def _call_server_stalled(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        begun = self.loop.now
-        for n in names:
+    def _call_server_stalled(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        suspended_at = self.loop.now
+        for n in affected:
             os.kill(self._pid(n), signal.SIGSTOP)
-        yield "sleep", lasts
-        for n in names:
+        yield "sleep", duration
+        for n in affected:
             os.kill(self._pid(n), signal.SIGCONT)
-            self.asleep.append((n, begun, self.loop.now))
+            self.suspensions.append((n, suspended_at, self.loop.now))
 
     def _pid(self, n: int) -> int:
         process = self.servers[n].process
         assert process is not None
         return int(process.pid)
 
-    def _peer_messages_lost(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        self.order(do="lose", share=trouble.share)
-        yield "sleep", lasts
-        self.order(do="lose", share=0.0)
+    def _peer_messages_lost(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        self.command_relays(do="lose", share=trouble.share)
+        yield "sleep", duration
+        self.command_relays(do="lose", share=0.0)
 
-    def _stale_list(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        self.list.freeze(True)
-        yield "sleep", lasts
-        self.list.freeze(False)
+    def _stale_list(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        self.exchange_list.freeze(True)
+        yield "sleep", duration
+        self.exchange_list.freeze(False)
 
-    def _link_cut(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        yield from self._on_links("cut", names, lasts)
+    def _link_cut(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        yield from self._apply_to_links("cut", affected, duration)
 
-    def _half_frame(self, trouble: Trouble, names: list[int], lasts: float) -> Task:
-        yield from self._on_links("stall", names, lasts)
+    def _half_frame(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
+        yield from self._apply_to_links("stall", affected, duration)
 
-    def _on_links(self, action: str, names: list[int], lasts: float) -> Task:
-        """What the relays do to all links of these exchanges for so long."""
-        pairs = [(a, b) for a in names for b in self.numbers if a != b]
+    def _apply_to_links(self, action: str, affected: list[int], duration: float) -> Task:
+        """Applies an action to all links of the affected exchanges, for `duration` milliseconds."""
+        pairs = [(a, b) for a in affected for b in self.exchange_numbers if a != b]
         for a, b in pairs:
-            self.order(do=action, a=a, b=b)
-        yield "sleep", lasts
+            self.command_relays(do=action, a=a, b=b)
+        yield "sleep", duration
         for a, b in pairs:
-            self.order(do="heal", a=a, b=b)
+            self.command_relays(do="heal", a=a, b=b)
 
-    # -- the whole
+    # -- the whole day
 
     def play(self) -> Report:
+        """Runs the day; raises RuntimeError when the fleet does not start or a task of this process fails."""
         day, loop = self.day, self.loop
-        begun = time.monotonic()
+        started = time.monotonic()
         try:
             self.start_relays()
             self.start_standins()
-            for n in self.numbers:
+            for n in self.exchange_numbers:
                 self.start_server(n)
-            if not loop.run_until(self.ready, START_WITHIN):
+            if not loop.run_until(self.all_associations_up, START_TIMEOUT_MS):
                 raise RuntimeError(
-                    f"the fleet did not come up in {START_WITHIN / 1_000:g} s; see {self.folder}"
+                    f"the fleet was not ready within {START_TIMEOUT_MS / 1_000:g} s; see {self.work_dir}"
                 )
-            loop.run_until(lambda: False, 500.0)  # circuits are reset, the list is told
-            self.say(f"fleet of {self.count} is up after {time.monotonic() - begun:.1f} s")
+            loop.run_until(lambda: False, 500.0)  # for circuit resets and the first list updates
+            self.log(f"{self.exchange_count} exchanges ready after {time.monotonic() - started:.1f} s")
             failures: list[str] = []
             loop.on_task_error = lambda name, error: failures.append(f"{name}: {error!r}")
-            loop.spawn(self.arrivals())
+            loop.spawn(self.generate_calls())
             for trouble in day.troubles:
-                loop.spawn(self.trouble(trouble))
-            loop.spawn(self._progress())
-            loop.run_until(lambda: bool(failures), day.ms(day.seconds * 1_000))
+                loop.spawn(self.run_trouble(trouble))
+            loop.spawn(self._log_progress())
+            loop.run_until(lambda: bool(failures), day.scale_ms(day.seconds * 1_000))
             if failures:
                 raise RuntimeError(failures[0])
-            self.ending = True
+            self.stopping = True
             for callers in self.callers.values():
                 callers.quiet = True
-            longest = max(kind.deadline for kind in day.kinds)
-            loop.run_until(self._settled, longest + 2_000.0)
-            return self._finish(time.monotonic() - begun)
+            longest_deadline = max(kind.deadline for kind in day.call_kinds)
+            loop.run_until(self._all_calls_established, longest_deadline + 2_000.0)
+            return self._finish(time.monotonic() - started)
         finally:
-            self._end_processes()
+            self._kill_processes()
 
-    def _settled(self) -> bool:
+    def _all_calls_established(self) -> bool:
         return all(wish.stood for callers in self.callers.values() for wish in callers.on.values())
 
-    def _progress(self) -> Task:
-        every = max(1_000.0, self.day.ms(self.day.seconds * 100))
-        while not self.ending:
-            yield "sleep", every
-            t = self.tally
-            done = t["in time"] + t["late"]
-            self.say(
-                f"          offered {t['offered']}, stood {done}, unserved {t['unserved']}, cut {t['cut']}"
+    def _log_progress(self) -> Task:
+        interval_ms = max(1_000.0, self.day.scale_ms(self.day.seconds * 100))
+        while not self.stopping:
+            yield "sleep", interval_ms
+            tally = self.tally
+            established = tally["in time"] + tally["late"]
+            self.log(
+                f"          offered {tally['offered']}, established {established}, "
+                f"unserved {tally['unserved']}, cut {tally['cut']}"
             )
 
     def _finish(self, seconds: float) -> Report:
         faults = []
-        processor = 0.0
+        cpu_s = 0.0
         for server in self.servers.values():
             if server.process is not None:
                 server.process.send_signal(signal.SIGTERM)
         for n, server in self.servers.items():
             if server.process is None:
                 continue
-            # The stand-ins must go on answering while call servers release their circuits.
+            # The loop keeps running: the stand-ins must answer while the call servers release their circuits.
             process = server.process
             usage: list[Any] = []
 
-            def gone(process: subprocess.Popen[bytes] = process, usage: list[Any] = usage) -> bool:
-                pid, status, spent = os.wait4(process.pid, os.WNOHANG)
+            def has_exited(process: subprocess.Popen[bytes] = process, usage: list[Any] = usage) -> bool:
+                pid, status, resources = os.wait4(process.pid, os.WNOHANG)
                 if pid:
                     process.returncode = os.waitstatus_to_exitcode(status)
-                    usage.append(spent)
+                    usage.append(resources)
                 return bool(pid)
 
-            if not self.loop.run_until(gone, 15_000.0):
+            if not self.loop.run_until(has_exited, 15_000.0):
                 faults.append(f"cs{n} did not stop in time")
             elif process.returncode:
-                faults.append(f"cs{n} ended with {process.returncode}")
+                faults.append(f"cs{n} exited with code {process.returncode}")
             else:
-                processor += usage[0].ru_utime + usage[0].ru_stime
+                cpu_s += usage[0].ru_utime + usage[0].ru_stime
         if self.day.fleet["tls"]:
-            logs = [server.file.with_suffix(".log").read_text() for server in self.servers.values()]
+            logs = [server.settings_file.with_suffix(".log").read_text() for server in self.servers.values()]
             for event in ("link moved over", "link not moved over", "handshake refused"):
-                told = json.dumps(event)
-                self.notes.append(f"{event}: {sum(log.count(told) for log in logs)}")
+                quoted_event = json.dumps(event)
+                self.notes.append(f"{event}: {sum(log.count(quoted_event) for log in logs)}")
         faults += [f"callers {n}: {fault}" for n, c in self.callers.items() for fault in c.faults[:3]]
         faults += [f"office {n}: {fault}" for n, o in self.offices.items() for fault in o.faults[:3]]
-        faults += [f"office {n} fell over while cold" for n, o in self.offices.items() if o.fallen]
-        self.order(do="stop")
+        faults += [f"office {n} was overloaded while cold" for n, o in self.offices.items() if o.fallen]
+        self.command_relays(do="stop")
         for relay in self.relays:
             relay.wait(10)
-        verdict = Checker(self.facts()).check(tap.merged(self.taps))
-        at = self.delays.get_value_at_percentile
-        delay = {name: at(p) / 1_000 for name, p in (("p50", 50), ("p90", 90), ("p99", 99), ("max", 100))}
-        return Report(self.day.name, self.tally, verdict, delay, seconds, faults, processor, self.notes)
+        check_result = Checker(self.checker_config()).check(tap.merge_taps(self.tap_files))
+        percentile_us = self.setup_delays.get_value_at_percentile
+        delay_ms = {
+            name: percentile_us(p) / 1_000
+            for name, p in (("p50", 50), ("p90", 90), ("p99", 99), ("max", 100))
+        }
+        return Report(self.day.name, self.tally, check_result, delay_ms, seconds, faults, cpu_s, self.notes)
 
-    def facts(self) -> Facts:
+    def checker_config(self) -> CheckerConfig:
+        """The roles and rule parameters of this day for the checker."""
         day = self.day
-        ms, rules = day.ms, day.rules
-        return Facts(
-            exchanges=frozenset(self.numbers),
-            offices={OFFICE + n: n for n in self.numbers},
-            callers=frozenset(CALLERS + n for n in self.numbers),
-            lists=frozenset({LIST}),
-            deadline=max(kind.deadline for kind in day.kinds),
+        scale_ms, rules = day.scale_ms, day.rules
+        return CheckerConfig(
+            exchanges=frozenset(self.exchange_numbers),
+            offices={OFFICE + n: n for n in self.exchange_numbers},
+            callers=frozenset(CALLERS + n for n in self.exchange_numbers),
+            list_services=frozenset({LIST}),
+            deadline=max(kind.deadline for kind in day.call_kinds),
             answer_grace=20.0,
-            drain_grace=ms(rules["drain-grace"]),
-            release=ms(rules["release"]),
+            drain_grace=scale_ms(rules["drain-grace"]),
+            release=scale_ms(rules["release"]),
             overload_factor=rules["overload-factor"],
-            overload_for=ms(rules["overload-for"]),
+            overload_for=scale_ms(rules["overload-for"]),
             cold_share=rules["cold-share"],
-            warm_after=ms(rules["warm-after"]),
-            setup=day.processor.setup,
-            asleep=tuple(self.asleep),
+            warm_after=scale_ms(rules["warm-after"]),
+            setup_time=day.processor.setup,
+            suspensions=tuple(self.suspensions),
         )
 
-    def _end_processes(self) -> None:
+    def _kill_processes(self) -> None:
         running = [server.process for server in self.servers.values() if server.process is not None]
         for process in [*running, *self.relays]:
             if process.poll() is None:
@@ -617,15 +659,15 @@
                 process.wait()
 
     def capture(self, path: Path) -> int:
-        """The whole day as exported PDUs; how many frames."""
+        """Writes all frames of the day as a pcapng file of exported PDUs; returns their number."""
         capture, count = tap.Capture(path), 0
-        for record in tap.merged(self.taps):
-            if record.frame and record.kind != tap.BUSY:
+        for record in tap.merge_taps(self.tap_files):
+            if record.frame and record.kind != tap.RELAY_BUSY:
                 capture.note(record.at, record.source, record.target, record.frame)
                 count += 1
         capture.close()
         return count
 
 
-def _kdl(value: Any) -> str:
+def _kdl_value(value: Any) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/ospreybridge/lab/relay.py
+++ b/ospreybridge/lab/relay.py
@@ -17,50 +17,52 @@
 
 from ospreybridge.core.handshakes import HandshakeScheduler
 from ospreybridge.keys import credentials
-from ospreybridge.lab.tap import BUSY, DOWN, FRAME, INJECTED, STAMP, UP, Tap
+from ospreybridge.lab.tap import BUSY_PAYLOAD, FRAME, INJECTED, LINK_DOWN, LINK_UP, RELAY_BUSY, Tap
 from ospreybridge.net import tcp, tls
 from ospreybridge.net.loop import READ, EventLoop, Task
 from ospreybridge.signalling import isup, m3ua, sccp
 from ospreybridge.signalling.errors import FrameError, MessageError
 from ospreybridge.signalling.isup import IsupMessage
 
-BUFFER = 1 << 24
+STREAM_BUFFER_BYTES = 1 << 24
 DOMAIN, SHARED = "example.test", "everybody"  # of the names in a fleet's certificates; the shared set's files
-SLOTS = 4_096  # handshakes at once: the relay must refuse nobody
-LONG_TURN = 10.0  # ms of one turn that the checker must know of: what came meanwhile was read late
+HANDSHAKE_SLOTS = 4_096  # handshakes at once: the relay must refuse nobody
+BUSY_TURN_MS = 10.0  # ms of one turn that the checker must know of: what came meanwhile was read late
 # Octets of a DATA frame with a routing context: service indicator, circuit (two), ISUP message type.
-SERVICE, CIRCUIT, TYPE = 28, 32, 34
+SERVICE, CIC_OFFSET, TYPE = 28, 32, 34
 
 
 def _cic(frame: bytes) -> int:
-    return frame[CIRCUIT] | (frame[CIRCUIT + 1] & 15) << 8
+    return frame[CIC_OFFSET] | (frame[CIC_OFFSET + 1] & 15) << 8
 
 
-def shared_set(folder: Path) -> credentials.Credentials:
+def load_shared_credentials(folder: Path) -> credentials.Credentials:
     paths = credentials.CredentialPaths(folder / f"{SHARED}.crt", folder / f"{SHARED}.key", folder / "ca.crt")
     return credentials.load(paths, time.time())
 
 
-class Pair:
+class RelayedConnection:
     """One connection through the relay: the dialling side `near`, the dialled side `far`."""
 
-    def __init__(self, relay: Relay, link: Link, near: tcp.Stream, far: tcp.Stream) -> None:
-        self.relay, self.link, self.near, self.far = relay, link, near, far
+    def __init__(self, relay: Relay, link: Link, client: tcp.Stream, server: tcp.Stream) -> None:
+        self.relay, self.link, self.client, self.server = relay, link, client, server
         self.held: list[tuple[tcp.Stream, bytes]] = []
-        near.on_close = far.on_close = self._closed
-        link.pair = self
-        relay.tap.note(relay.loop.clock() * 1_000.0, UP, link.source, link.target)
-        relay.loop.spawn(self._pump(near, far, link.source, link.target))
-        relay.loop.spawn(self._pump(far, near, link.target, link.source))
+        client.on_close = server.on_close = self._on_close
+        link.connection = self
+        relay.tap.write(relay.loop.clock() * 1_000.0, LINK_UP, link.source, link.target)
+        relay.loop.spawn(self._forward(client, server, link.source, link.target))
+        relay.loop.spawn(self._forward(server, client, link.target, link.source))
 
-    def _closed(self, reason: str) -> None:
-        if self.link.pair is self:
-            self.link.pair = None
-            self.relay.tap.note(self.relay.loop.clock() * 1_000.0, DOWN, self.link.source, self.link.target)
-        self.near.close(reason)
-        self.far.close(reason)
+    def _on_close(self, reason: str) -> None:
+        if self.link.connection is self:
+            self.link.connection = None
+            self.relay.tap.write(
+                self.relay.loop.clock() * 1_000.0, LINK_DOWN, self.link.source, self.link.target
+            )
+        self.client.close(reason)
+        self.server.close(reason)
 
-    def _pump(self, stream: tcp.Stream, to: tcp.Stream, source: int, target: int) -> Task:
+    def _forward(self, stream: tcp.Stream, to: tcp.Stream, source: int, target: int) -> Task:
         relay = self.relay
         splitter = m3ua.Splitter()
         while True:
@@ -75,13 +77,13 @@
                 continue
             # The moment of the reading, not of the turn: across relays no effect may stand before its cause.
             at = relay.loop.clock() * 1_000.0
-            passed = [frame for frame in frames if not self._swallowed(frame, source, target)]
-            for frame in passed:
-                relay.tap.note(at, FRAME, source, target, frame)
-            if passed:
-                self._pass(to, b"".join(passed))
+            forwarded = [frame for frame in frames if not self._is_dropped(frame, source, target)]
+            for frame in forwarded:
+                relay.tap.write(at, FRAME, source, target, frame)
+            if forwarded:
+                self._deliver(to, b"".join(forwarded))
 
-    def _pass(self, to: tcp.Stream, data: bytes) -> None:
+    def _deliver(self, to: tcp.Stream, data: bytes) -> None:
         if self.link.stalled:
             self.held.append((to, data))
         elif self.link.delay > 0:
@@ -90,41 +92,45 @@
         else:
             to.write(data)
 
-    def unstall(self) -> None:
+    def release_held(self) -> None:
         held, self.held = self.held, []
         for to, data in held:
-            self._pass(to, data)
+            self._deliver(to, data)
 
-    def _swallowed(self, frame: bytes, source: int, target: int) -> bool:
+    def _is_dropped(self, frame: bytes, source: int, target: int) -> bool:
         """Peer messages that are lost, and the answers to what the relay itself said for the other side."""
         if frame[2:4] != b"\1\1":
             return False
         relay = self.relay
-        if relay.lose and frame[SERVICE] == m3ua.SI_SCCP and relay.random.random() < relay.lose:
+        if (
+            relay.peer_message_loss
+            and frame[SERVICE] == m3ua.SI_SCCP
+            and relay.random.random() < relay.peer_message_loss
+        ):
             try:
                 data = m3ua.decode(frame)
                 return isinstance(data, m3ua.Data) and sccp.decode(data.body)[0] == sccp.PEER_SUBSYSTEM
             except MessageError:
                 return False
-        if self.link.dead and len(frame) > TYPE and frame[TYPE] == isup.IAM:
+        if self.link.lost_circuits and len(frame) > TYPE and frame[TYPE] == isup.IAM:
             # A set-up that crossed the loss of its circuit: it is lost with it, its sender has heard RSC.
-            return _cic(frame) in self.link.dead
-        if self.link.owed and len(frame) > TYPE:
+            return _cic(frame) in self.link.lost_circuits
+        if self.link.expected_answers and len(frame) > TYPE:
             key = (target, _cic(frame), frame[TYPE])
-            if key in self.link.owed:
-                self.link.owed.discard(key)
+            if key in self.link.expected_answers:
+                self.link.expected_answers.discard(key)
                 return True
         return False
 
-    def say(self, source: int, target: int, message: IsupMessage, answer: int) -> None:
+    def inject(self, source: int, target: int, message: IsupMessage, answer_type: int) -> None:
         """Puts a message in as if `source` had sent it; its answer stays here."""
         data = m3ua.Data(
             source, target, m3ua.SI_ISUP, 2, 0, message.cic & 15, isup.encode(message), self.link.context
         )
         frame = m3ua.encode_data(data)
-        self.link.owed.add((source, message.cic, answer))
-        self.relay.tap.note(self.relay.loop.clock() * 1_000.0, INJECTED, source, target, frame)
-        self._pass(self.far if target == self.link.target else self.near, frame)
+        self.link.expected_answers.add((source, message.cic, answer_type))
+        self.relay.tap.write(self.relay.loop.clock() * 1_000.0, INJECTED, source, target, frame)
+        self._deliver(self.server if target == self.link.target else self.client, frame)
 
 
 class Link:
@@ -132,43 +138,47 @@
         self.relay, self.source, self.target = relay, source, target
         self.delay, self.context = delay, context
         self.cut = self.stalled = False
-        self.pair: Pair | None = None
-        self.dead: set[int] = set()  # circuits that are lost
-        self.owed: set[tuple[int, int, int]] = set()
+        self.connection: RelayedConnection | None = None
+        self.lost_circuits: set[int] = set()  # circuits that are lost
+        self.expected_answers: set[tuple[int, int, int]] = set()
         self.socket = tcp.listen(("127.0.0.1", 0))
-        relay.loop.spawn(tcp.accept_connections(relay.loop, self.socket, self._accepted))
+        relay.loop.spawn(tcp.accept_connections(relay.loop, self.socket, self._on_accept))
 
     @property
     def port(self) -> int:
         return int(self.socket.getsockname()[1])
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accept(self, sock: socket.socket) -> None:
         if self.cut or self.target not in self.relay.ports:
             sock.close()
         else:
-            self.relay.loop.spawn(self._join(sock))
+            self.relay.loop.spawn(self._connect(sock))
 
-    def _join(self, sock: socket.socket) -> Task:
-        loop, contexts, pace = self.relay.loop, self.relay.contexts, self.relay.pace
-        near: tcp.Stream | None = None
+    def _connect(self, sock: socket.socket) -> Task:
+        loop, contexts, scheduler = self.relay.loop, self.relay.tls_contexts, self.relay.handshakes
+        client: tcp.Stream | None = None
         try:
             if contexts is not None:
                 secured = yield from tls.handshake(
-                    loop, sock, contexts.wrap_server, pace, tls.STANDIN_HANDSHAKE_TIMEOUT_MS
+                    loop, sock, contexts.wrap_server, scheduler, tls.STANDIN_HANDSHAKE_TIMEOUT_MS
                 )
-                near = tls.TlsStream(loop, secured, BUFFER)
+                client = tls.TlsStream(loop, secured, STREAM_BUFFER_BYTES)
             else:
-                near = tcp.Stream(loop, sock, BUFFER)
-            raw = yield from tcp.connect(loop, ("127.0.0.1", self.relay.ports[self.target]), 2_000.0)
+                client = tcp.Stream(loop, sock, STREAM_BUFFER_BYTES)
+            server_socket = yield from tcp.connect(
+                loop, ("127.0.0.1", self.relay.ports[self.target]), 2_000.0
+            )
             if contexts is not None:
-                far: tcp.Stream = yield from contexts.connect(loop, raw, pace, f"cs{self.target}.{DOMAIN}")
+                server: tcp.Stream = yield from contexts.connect(
+                    loop, server_socket, scheduler, f"cs{self.target}.{DOMAIN}"
+                )
             else:
-                far = tcp.Stream(loop, raw, BUFFER)
+                server = tcp.Stream(loop, server_socket, STREAM_BUFFER_BYTES)
         except (OSError, tls.HandshakeError):
-            if near is not None:
-                near.close("nobody there")
+            if client is not None:
+                client.close("nobody there")
             return
-        Pair(self.relay, self, near, far)
+        RelayedConnection(self.relay, self, client, server)
 
 
 class Relay:
@@ -178,59 +188,61 @@
         self.random = random.Random(seed)
         self.links: dict[tuple[int, int], Link] = {}
         self.ports: dict[int, int] = {}  # where each dialled side listens, by point code
-        self.lose = 0.0
-        self.contexts: tls.TlsContexts | None = None  # with keys, both halves of each connection are TLS
-        self.pace = HandshakeScheduler(SLOTS, seed, cpu_share=1.0)
+        self.peer_message_loss = 0.0
+        self.tls_contexts: tls.TlsContexts | None = None  # with keys, both halves of each connection are TLS
+        self.handshakes = HandshakeScheduler(HANDSHAKE_SLOTS, seed, cpu_share=1.0)
 
-    def command(self, order: dict[str, Any]) -> None:
+    def execute(self, command: dict[str, Any]) -> None:
         """One order: link, port, cut, heal, stall, lose, block, unblock."""
-        match order["do"]:
+        match command["do"]:
             case "links":
-                if order["keys"]:
-                    self.contexts = tls.TlsContexts(shared_set(Path(order["keys"])))
-                for source, target, delay, context in order["links"]:
+                if command["keys"]:
+                    self.tls_contexts = tls.TlsContexts(load_shared_credentials(Path(command["keys"])))
+                for source, target, delay, context in command["links"]:
                     self.links[source, target] = Link(self, source, target, delay, context)
                 ports = [[s, t, link.port] for (s, t), link in self.links.items()]
                 print(json.dumps(ports), flush=True)
             case "port":
-                self.ports[order["of"]] = order["port"]
+                self.ports[command["of"]] = command["port"]
             case "lose":
-                self.lose = order["share"]
+                self.peer_message_loss = command["share"]
             case "stop":
                 self.loop.running = False
             case action:
-                link = self.links.get((order["a"], order["b"])) or self.links.get((order["b"], order["a"]))
+                link = self.links.get((command["a"], command["b"])) or self.links.get(
+                    (command["b"], command["a"])
+                )
                 if link is not None:
-                    self._on(link, action, order)
+                    self._execute_on_link(link, action, command)
 
-    def _on(self, link: Link, action: str, order: dict[str, Any]) -> None:
-        pair = link.pair
+    def _execute_on_link(self, link: Link, action: str, command: dict[str, Any]) -> None:
+        connection = link.connection
         if action == "cut":
             link.cut = True
-            if pair is not None:
-                pair.near.close("cut")
+            if connection is not None:
+                connection.client.close("cut")
         elif action == "heal":
             link.cut = link.stalled = False
-            if pair is not None:
-                pair.unstall()
+            if connection is not None:
+                connection.release_held()
         elif action == "stall":
             link.stalled = True
-        elif action in ("block", "unblock") and pair is not None:
-            link.dead = set(order["cics"]) if action == "block" else set()
+        elif action in ("block", "unblock") and connection is not None:
+            link.lost_circuits = set(command["cics"]) if action == "block" else set()
             # Lost circuits: each end hears that the other has reset and blocked them.
-            first, last = min(order["cics"]), max(order["cics"])
-            lost = [cic in order["cics"] for cic in range(first, last + 1)]
-            given = {
+            first, last = min(command["cics"]), max(command["cics"])
+            lost = [cic in command["cics"] for cic in range(first, last + 1)]
+            parameters = {
                 isup.GROUP_SUPERVISION: isup.MAINTENANCE_ORIENTED,
                 isup.RANGE_STATUS: isup.encode_range_status(len(lost), lost),
             }
-            kind, answer = (isup.CGB, isup.CGBA) if action == "block" else (isup.CGU, isup.CGUA)
+            message_type, answer_type = (isup.CGB, isup.CGBA) if action == "block" else (isup.CGU, isup.CGUA)
             for source, target in ((link.source, link.target), (link.target, link.source)):
-                for cic in order["cics"] if action == "block" else ():
-                    pair.say(source, target, IsupMessage(cic, isup.RSC), isup.RLC)
-                pair.say(source, target, IsupMessage(first, kind, given), answer)
+                for cic in command["cics"] if action == "block" else ():
+                    connection.inject(source, target, IsupMessage(cic, isup.RSC), isup.RLC)
+                connection.inject(source, target, IsupMessage(first, message_type, parameters), answer_type)
 
-    def orders(self) -> Task:
+    def _read_commands(self) -> Task:
         os.set_blocking(0, False)
         rest = b""
         while True:
@@ -241,16 +253,16 @@
                 return
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                self.command(json.loads(line))
+                self.execute(json.loads(line))
 
     def run(self) -> None:
-        self.loop.spawn(self.orders())
+        self.loop.spawn(self._read_commands())
         with contextlib.suppress(KeyboardInterrupt):
             while self.loop.running:
                 self.loop.run_once()
-                begun, ended = self.loop.now, self.loop.clock() * 1_000.0
-                if ended - begun > LONG_TURN:
-                    self.tap.note(ended, BUSY, 0, 0, STAMP.pack(begun))
+                turn_started, turn_ended = self.loop.now, self.loop.clock() * 1_000.0
+                if turn_ended - turn_started > BUSY_TURN_MS:
+                    self.tap.write(turn_ended, RELAY_BUSY, 0, 0, BUSY_PAYLOAD.pack(turn_started))
         self.tap.close()
 
 
--- a/ospreybridge/lab/script.py
+++ b/ospreybridge/lab/script.py
@@ -41,9 +41,9 @@
     "link-cut": "associations between exchanges drop and return",
     "half-frame": "an association stops in the middle of a frame and stays silent",
 }
-_SECONDS = number(0, 86_400)
+_SECONDS_OF_A_DAY = number(0, 86_400)
 _SHARE = number(0, 1)
-FORM = NodeSpec(
+SCRIPT_SPEC = NodeSpec(
     children={
         "day": NodeSpec(
             ValueSpec(text, required=True),
@@ -111,13 +111,13 @@
         "trouble": NodeSpec(
             ValueSpec(choice(*KINDS), required=True),
             {
-                "at": ValueSpec(_SECONDS, 0.0, True),
-                "for": ValueSpec(_SECONDS, 0.0),
+                "at": ValueSpec(_SECONDS_OF_A_DAY, 0.0, True),
+                "for": ValueSpec(_SECONDS_OF_A_DAY, 0.0),
                 "share": ValueSpec(_SHARE),
                 "factor": ValueSpec(number(0, 1_000), 3.0),
                 "exchanges": ValueSpec(text, ""),
-                "back": ValueSpec(_SECONDS, 2.0),
-                "grace": ValueSpec(_SECONDS, 2.0),
+                "back": ValueSpec(_SECONDS_OF_A_DAY, 2.0),
+                "grace": ValueSpec(_SECONDS_OF_A_DAY, 2.0),
             },
         ),
     }
@@ -128,11 +128,11 @@
 class Trouble:
     kind: str
     at: float  # seconds of the day
-    lasts: float
+    duration: float
     share: float
     factor: float
     exchanges: tuple[int, ...]  # named ones; empty: drawn by `share`
-    back: float
+    return_within: float
     grace: float
 
 
@@ -140,15 +140,15 @@
 class Day:
     name: str
     seconds: float
-    factor: float
+    speedup: float
     seed: int
     fleet: dict[str, Any]
-    rate: float
+    calls_per_s: float
     habits: Habits
     processor: Processor
-    list_delay: tuple[float, float]
-    centre_every: float
-    kinds: tuple[Kind, ...]
+    list_delay_ms: tuple[float, float]
+    centre_interval_ms: float
+    call_kinds: tuple[Kind, ...]
     classes: tuple[ParsedNode, ...]
     tenants: tuple[ParsedNode, ...]
     rules: dict[str, Any]
@@ -157,50 +157,50 @@
     module: dict[str, Any]
     troubles: tuple[Trouble, ...] = field(default=())
 
-    def ms(self, value: float) -> float:
+    def scale_ms(self, value: float) -> float:
         """A duration of the script as it is on this day's clock."""
-        return value / self.factor
+        return value / self.speedup
 
 
-def _keys(top: ParsedNode, name: str) -> dict[str, Any]:
+def _properties(top: ParsedNode, name: str) -> dict[str, Any]:
     part = top.first_child(name)
     return (
         part.properties
         if part
-        else {key: wanted.default for key, wanted in FORM.children[name].properties.items()}
+        else {key: spec.default for key, spec in SCRIPT_SPEC.children[name].properties.items()}
     )
 
 
-def load(path: Path, factor: float | None = None, troubles: bool = True) -> Day:
+def load(path: Path, speedup: float | None = None, with_troubles: bool = True) -> Day:
     """A checked day; SettingsError names every fault. `factor` and `troubles=False` override the script."""
     reader = Reader(path)
-    top = reader.read(FORM)
+    top = reader.read(SCRIPT_SPEC)
     day = top.first_child("day")
     if day is None:
         reader.add_error(1, "day", "missing")
     if not top.children_named("class"):
         reader.add_error(1, "class", "at least one is needed")
-    fleet = _keys(top, "fleet")
-    found = []
+    fleet = _properties(top, "fleet")
+    troubles = []
     for part in top.children_named("trouble"):
-        names = tuple(int(x) for x in part["exchanges"].split(",") if x.strip().isdigit())
-        if any(not 1 <= name <= fleet["exchanges"] for name in names):
+        exchanges = tuple(int(x) for x in part["exchanges"].split(",") if x.strip().isdigit())
+        if any(not 1 <= name <= fleet["exchanges"] for name in exchanges):
             reader.add_error(part.line, "trouble exchanges", f"numbers from 1 to {fleet['exchanges']}")
         if (
             part["share"] is None
-            and not names
+            and not exchanges
             and part.argument not in ("burst", "stale-list", "retry-abuse")
         ):
             reader.add_error(part.line, "trouble", "exchanges or share is needed")
         share = 1.0 if part["share"] is None else part["share"]
-        found.append(
+        troubles.append(
             Trouble(
                 part.argument,
                 part["at"],
                 part["for"],
                 share,
                 part["factor"],
-                names,
+                exchanges,
                 part["back"],
                 part["grace"],
             )
@@ -211,48 +211,52 @@
             reader.add_error(part.line, "trouble at", f"within the day's {day['seconds']:g} seconds")
     reader.raise_errors()
     assert day is not None
-    speed = factor or day["factor"]
-    callers, processor, rules = _keys(top, "callers"), _keys(top, "processor"), _keys(top, "rules")
-    kinds = tuple(
+    scale = speedup or day["factor"]
+    callers, processor, rules = (
+        _properties(top, "callers"),
+        _properties(top, "processor"),
+        _properties(top, "rules"),
+    )
+    call_kinds = tuple(
         Kind(
             part.argument,
             part["share"],
             part["category"],
             part["width"],
-            part["on-time"] / speed,
-            part["deadline"] / speed,
-            part["hold"] / speed,
+            part["on-time"] / scale,
+            part["deadline"] / scale,
+            part["hold"] / scale,
         )
         for part in top.children_named("class")
     )
-    listed = _keys(top, "list")
+    list_delays = _properties(top, "list")
     return Day(
         name=day.argument,
         seconds=day["seconds"],
-        factor=speed,
+        speedup=scale,
         seed=day["seed"],
         fleet=fleet,
-        rate=_keys(top, "traffic")["rate"] * speed,
+        calls_per_s=_properties(top, "traffic")["rate"] * scale,
         habits=Habits(
-            callers["patience"] / speed, callers["redials"], callers["redial-after"] / speed, callers["heeds"]
+            callers["patience"] / scale, callers["redials"], callers["redial-after"] / scale, callers["heeds"]
         ),
         processor=Processor(
-            setup=processor["setup"] / speed,
-            release=processor["release"] / speed,
-            refuse_after=processor["refuse-after"] / speed,
+            setup=processor["setup"] / scale,
+            release=processor["release"] / scale,
+            refuse_after=processor["refuse-after"] / scale,
             cold_share=rules["cold-share"],
-            warm_after=rules["warm-after"] / speed,
+            warm_after=rules["warm-after"] / scale,
             overload_factor=rules["overload-factor"],
-            overload_for=rules["overload-for"] / speed,
+            overload_for=rules["overload-for"] / scale,
         ),
-        list_delay=(listed["delay-low"] / speed, listed["delay-high"] / speed),
-        centre_every=_keys(top, "centre")["every"] / speed,
-        kinds=kinds,
+        list_delay_ms=(list_delays["delay-low"] / scale, list_delays["delay-high"] / scale),
+        centre_interval_ms=_properties(top, "centre")["every"] / scale,
+        call_kinds=call_kinds,
         classes=tuple(top.children_named("class")),
         tenants=tuple(top.children_named("tenant")),
         rules=rules,
-        limits=_keys(top, "limits"),
-        goal=_keys(top, "goal"),
-        module=_keys(top, "module"),
-        troubles=tuple(found) if troubles else (),
+        limits=_properties(top, "limits"),
+        goal=_properties(top, "goal"),
+        module=_properties(top, "module"),
+        troubles=tuple(troubles) if with_troubles else (),
     )
--- a/ospreybridge/lab/tap.py
+++ b/ospreybridge/lab/tap.py
@@ -11,12 +11,19 @@
 from pcapng import FileWriter
 from pcapng.blocks import EnhancedPacket, InterfaceDescription, SectionHeader
 
-HEAD = struct.Struct(">dBHHI")  # ms of the monotonic clock, kind, from, to, octets that follow
-FRAME, UP, DOWN, INJECTED, BUSY = 0, 1, 2, 3, 4
-STAMP = struct.Struct(">d")  # with BUSY: when the relay's long turn began
-EXPORTED_PDU = 252
-_NAME, _SOURCE, _TARGET, _PORT_TYPE, _SOURCE_PORT, _TARGET_PORT = 12, 20, 21, 24, 25, 26
-_SCTP_PORTS = 1
+RECORD_HEADER = struct.Struct(">dBHHI")  # ms of the monotonic clock, kind, from, to, octets that follow
+FRAME, LINK_UP, LINK_DOWN, INJECTED, RELAY_BUSY = 0, 1, 2, 3, 4
+BUSY_PAYLOAD = struct.Struct(">d")  # with BUSY: when the relay's long turn began
+LINKTYPE_WIRESHARK_UPPER_PDU = 252
+(
+    _TAG_DISSECTOR_NAME,
+    _TAG_IPV4_SOURCE,
+    _TAG_IPV4_DESTINATION,
+    _TAG_PORT_TYPE,
+    _TAG_SOURCE_PORT,
+    _TAG_DESTINATION_PORT,
+) = 12, 20, 21, 24, 25, 26
+_PORT_TYPE_SCTP = 1
 M3UA_PORT = 2905
 
 
@@ -37,44 +44,44 @@
     def __init__(self, path: Path) -> None:
         self.file: BinaryIO = path.open("wb")
 
-    def note(self, at: float, kind: int, source: int, target: int, frame: bytes = b"") -> None:
-        self.file.write(HEAD.pack(at, kind, source, target, len(frame)) + frame)
+    def write(self, at: float, kind: int, source: int, target: int, frame: bytes = b"") -> None:
+        self.file.write(RECORD_HEADER.pack(at, kind, source, target, len(frame)) + frame)
 
     def close(self) -> None:
         self.file.close()
 
 
-def read(path: Path) -> Iterator[Record]:
+def read_records(path: Path) -> Iterator[Record]:
     """Whole records; a last one cut off by a kill is left out."""
     data = path.read_bytes()
-    at = 0
-    while at + HEAD.size <= len(data):
-        when, kind, source, target, size = HEAD.unpack_from(data, at)
-        at += HEAD.size
-        if at + size > len(data):
+    offset = 0
+    while offset + RECORD_HEADER.size <= len(data):
+        when, kind, source, target, size = RECORD_HEADER.unpack_from(data, offset)
+        offset += RECORD_HEADER.size
+        if offset + size > len(data):
             return
-        yield Record(when, kind, source, target, data[at : at + size])
-        at += size
+        yield Record(when, kind, source, target, data[offset : offset + size])
+        offset += size
 
 
-def merged(paths: list[Path]) -> list[Record]:
+def merge_taps(paths: list[Path]) -> list[Record]:
     """Records of several taps of one machine, in the order of their time."""
-    return sorted((record for path in paths for record in read(path)), key=lambda record: record.at)
+    return sorted((record for path in paths for record in read_records(path)), key=lambda record: record.at)
 
 
-def _tag(code: int, value: bytes) -> bytes:
-    return struct.pack(">HH", code, len(value)) + value + b"\0" * (-len(value) % 4)
+def _encode_tag(tag: int, value: bytes) -> bytes:
+    return struct.pack(">HH", tag, len(value)) + value + b"\0" * (-len(value) % 4)
 
 
-def exported(source: int, target: int, frame: bytes) -> bytes:
+def encode_exported_pdu(source: int, target: int, frame: bytes) -> bytes:
     """One frame with the tags that Wireshark's exported-PDU dissector reads; point codes are addresses."""
     name = b"m3ua"
-    tags = _tag(_NAME, name + b"\0" * (-len(name) % 4))
-    for code, number in ((_SOURCE, source), (_TARGET, target)):
-        tags += _tag(code, bytes((10, 0, number >> 8 & 255, number & 255)))
-    tags += _tag(_PORT_TYPE, struct.pack(">I", _SCTP_PORTS))
-    tags += _tag(_SOURCE_PORT, struct.pack(">I", M3UA_PORT)) + _tag(
-        _TARGET_PORT, struct.pack(">I", M3UA_PORT)
+    tags = _encode_tag(_TAG_DISSECTOR_NAME, name + b"\0" * (-len(name) % 4))
+    for code, number in ((_TAG_IPV4_SOURCE, source), (_TAG_IPV4_DESTINATION, target)):
+        tags += _encode_tag(code, bytes((10, 0, number >> 8 & 255, number & 255)))
+    tags += _encode_tag(_TAG_PORT_TYPE, struct.pack(">I", _PORT_TYPE_SCTP))
+    tags += _encode_tag(_TAG_SOURCE_PORT, struct.pack(">I", M3UA_PORT)) + _encode_tag(
+        _TAG_DESTINATION_PORT, struct.pack(">I", M3UA_PORT)
     )
     return tags + struct.pack(">HH", 0, 0) + frame
 
@@ -85,14 +92,14 @@
     def __init__(self, path: Path) -> None:
         self.file = path.open("wb")
         self.section = SectionHeader(options={"shb_userappl": "ospreybridge"})
-        self.section.new_member(InterfaceDescription, link_type=EXPORTED_PDU, snaplen=65_535)
+        self.section.new_member(InterfaceDescription, link_type=LINKTYPE_WIRESHARK_UPPER_PDU, snaplen=65_535)
         self.writer = FileWriter(self.file, self.section)
 
     def note(self, at: float, source: int, target: int, frame: bytes) -> None:
         """`at` in milliseconds."""
         packet = self.section.new_member(EnhancedPacket)
         packet.timestamp = at / 1_000.0
-        packet.packet_data = exported(source, target, frame)
+        packet.packet_data = encode_exported_pdu(source, target, frame)
         self.writer.write_block(packet)
 
     def close(self) -> None:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,20 +1,20 @@
-"""The checker can fail: each rule is broken once by hand-made frames, and a clean run breaks none."""
+"""Hand-made frames violate each rule once and the checker must detect it; a normal call violates none."""
 
 from __future__ import annotations
 
 from ospreybridge.lab import tap
-from ospreybridge.lab.checker import Checker, Facts, Verdict
+from ospreybridge.lab.checker import Checker, CheckerConfig, CheckResult
 from ospreybridge.lab.harness import ACM, iam, rel
 from ospreybridge.lab.tap import Record
 from ospreybridge.signalling import causes, isup, m3ua
 from ospreybridge.signalling.isup import IsupMessage
 
 CALLERS, OFFICE, LIST = 2_001, 1_002, 16_000
-FACTS = Facts(
+CONFIG = CheckerConfig(
     exchanges=frozenset({1, 2, 3}),
     offices={1_001: 1, 1_002: 2, 1_003: 3},
     callers=frozenset({CALLERS}),
-    lists=frozenset({LIST}),
+    list_services=frozenset({LIST}),
     deadline=9_000,
     answer_grace=20,
     drain_grace=250,
@@ -23,110 +23,128 @@
     overload_for=1_500,
     cold_share=0.3,
     warm_after=10_000,
-    setup=50,
+    setup_time=50,
 )
 
 
-class Story:
+class Recording:
+    """Builds the records of a tap: ISUP messages and updates of the exchange list."""
+
     def __init__(self) -> None:
         self.records: list[Record] = []
 
-    def say(self, at: float, source: int, target: int, message: IsupMessage) -> Story:
+    def add_isup(self, at: float, source: int, target: int, message: IsupMessage) -> Recording:
         data = m3ua.Data(source, target, 5, 2, 0, 0, isup.encode(message), 1)
         self.records.append(Record(at, tap.FRAME, source, target, m3ua.encode_data(data)))
         return self
 
-    def tell(self, at: float, target: int, kind: tuple[int, int], code: int, info: str) -> Story:
+    def add_list_update(
+        self, at: float, target: int, kind: tuple[int, int], code: int, info: str
+    ) -> Recording:
         self.records.append(Record(at, tap.FRAME, LIST, target, m3ua.encode_ssnm(kind, 1, 0, code, info)))
         return self
 
-    def judge(self) -> Verdict:
-        return Checker(FACTS).check(sorted(self.records, key=lambda record: record.at))
+    def check(self) -> CheckResult:
+        return Checker(CONFIG).check(sorted(self.records, key=lambda record: record.at))
 
 
-def begun() -> Story:
-    """A caller's call at exchange 1, sent on to exchange 2 on circuit 5."""
-    story = Story().say(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
-    return story.say(5, 1, 2, iam(5, "370020001", "501", left=2_000))
+def call_with_attempt() -> Recording:
+    """A call that exchange 1 receives from a caller and attempts towards exchange 2 on circuit 5."""
+    recording = Recording().add_isup(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
+    return recording.add_isup(5, 1, 2, iam(5, "370020001", "501", left=2_000))
 
 
-def test_a_clean_call_breaks_nothing() -> None:
-    story = (
-        begun()
-        .say(50, 2, 1, IsupMessage(5, isup.ACM, ACM))
-        .say(55, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-    )
-    story.say(900, CALLERS, 1, rel(1, 16)).say(901, 1, CALLERS, IsupMessage(1, isup.RLC)).say(
-        902, 1, 2, rel(5, 16)
+def test_a_normal_call_violates_no_rule() -> None:
+    recording = (
+        call_with_attempt()
+        .add_isup(50, 2, 1, IsupMessage(5, isup.ACM, ACM))
+        .add_isup(55, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
     )
-    assert story.say(910, 2, 1, IsupMessage(5, isup.RLC)).judge().broken == []
+    recording.add_isup(900, CALLERS, 1, rel(1, 16)).add_isup(
+        901, 1, CALLERS, IsupMessage(1, isup.RLC)
+    ).add_isup(902, 1, 2, rel(5, 16))
+    assert recording.add_isup(910, 2, 1, IsupMessage(5, isup.RLC)).check().violations == []
 
 
-def test_rule_1_no_answer_a_late_one_two_of_them_and_something_after() -> None:
-    never = begun().say(9_000, CALLERS, 1, iam(2, "370020001", "502"))
-    assert never.judge().rules[1] == 2  # neither exchange answered
-    late = begun().say(3_200, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-    assert sorted(text.split(": ", 1)[1] for text in late.judge().broken) == [
+def test_rule_1_missing_late_repeated_answers_and_attempts_after_the_final_one() -> None:
+    unanswered = call_with_attempt().add_isup(9_000, CALLERS, 1, iam(2, "370020001", "502"))
+    assert unanswered.check().violations_by_rule[1] == 2  # neither exchange answered
+    late = call_with_attempt().add_isup(3_200, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    assert sorted(text.split(": ", 1)[1] for text in late.check().violations) == [
         "exchange 1: 501 155 ms late",
         "exchange 2 never answered the call of 501",
     ]
     twice = (
-        begun()
-        .say(50, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-        .say(60, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        call_with_attempt()
+        .add_isup(50, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        .add_isup(60, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    )
+    assert twice.check().violations_by_rule[1] == 1
+    answer_after_rel = (
+        call_with_attempt()
+        .add_isup(50, 1, CALLERS, rel(1, 34))
+        .add_isup(70, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    )
+    assert answer_after_rel.check().violations_by_rule[1] == 1
+    attempt_after_rel = (
+        call_with_attempt().add_isup(50, 1, 2, rel(5, 16)).add_isup(60, 1, CALLERS, rel(1, 34))
     )
-    assert twice.judge().rules[1] == 1
-    after = begun().say(50, 1, CALLERS, rel(1, 34)).say(70, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-    assert after.judge().rules[1] == 1
-    goes_on = begun().say(50, 1, 2, rel(5, 16)).say(60, 1, CALLERS, rel(1, 34))
-    goes_on.say(900, 1, 3, iam(6, "370020001", "501"))
-    assert goes_on.judge().rules[1] == 1
+    attempt_after_rel.add_isup(900, 1, 3, iam(6, "370020001", "501"))
+    assert attempt_after_rel.check().violations_by_rule[1] == 1
 
 
-def test_rule_2_two_attempts_and_the_loser_of_a_dual_seizure_is_none() -> None:
-    assert begun().say(20, 1, 3, iam(7, "370020001", "501")).judge().rules[2] == 1
-    crossed = Story().say(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
-    crossed.say(5, 1, 2, iam(4, "370020001", "501")).say(6, 2, 1, iam(4, "370010001", "601"))
-    crossed.say(9, 1, 3, iam(7, "370020001", "501")).say(40, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-    assert crossed.judge().rules[2] == 0  # exchange 2 controls the even circuits
+def test_rule_2_two_open_attempts_but_not_after_a_lost_dual_seizure() -> None:
+    assert (
+        call_with_attempt().add_isup(20, 1, 3, iam(7, "370020001", "501")).check().violations_by_rule[2] == 1
+    )
+    dual_seizure = Recording().add_isup(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
+    dual_seizure.add_isup(5, 1, 2, iam(4, "370020001", "501")).add_isup(6, 2, 1, iam(4, "370010001", "601"))
+    dual_seizure.add_isup(9, 1, 3, iam(7, "370020001", "501")).add_isup(
+        40, 1, CALLERS, IsupMessage(1, isup.ACM, ACM)
+    )
+    assert dual_seizure.check().violations_by_rule[2] == 0  # exchange 2 controls the even circuits
 
 
-def test_rule_3_something_new_after_the_grace_and_old_news_that_comes_late() -> None:
-    told = Story().tell(0, 1, m3ua.DRST, 2, "v=5 start=0 age=0")
-    told.say(900, CALLERS, 1, iam(1, "370020001", "501", left=3_000)).say(
+def test_rule_3_attempt_after_the_drain_grace_but_not_after_an_outdated_update() -> None:
+    draining = Recording().add_list_update(0, 1, m3ua.DRST, 2, "v=5 start=0 age=0")
+    draining.add_isup(900, CALLERS, 1, iam(1, "370020001", "501", left=3_000)).add_isup(
         905, 1, 2, iam(5, "370020001", "501")
     )
-    assert told.judge().rules[3] == 1
-    old = Story().tell(0, 1, m3ua.DAVA, 2, "v=6 start=0 age=0").tell(10, 1, m3ua.DRST, 2, "v=5 start=0 age=0")
-    old.say(900, CALLERS, 1, iam(1, "370020001", "501", left=3_000)).say(
+    assert draining.check().violations_by_rule[3] == 1
+    outdated = (
+        Recording()
+        .add_list_update(0, 1, m3ua.DAVA, 2, "v=6 start=0 age=0")
+        .add_list_update(10, 1, m3ua.DRST, 2, "v=5 start=0 age=0")
+    )
+    outdated.add_isup(900, CALLERS, 1, iam(1, "370020001", "501", left=3_000)).add_isup(
         905, 1, 2, iam(5, "370020001", "501")
     )
-    assert old.judge().rules[3] == 0
+    assert outdated.check().violations_by_rule[3] == 0
 
 
-def test_rule_4_a_cold_processor_gets_more_than_it_bears() -> None:
-    def sent(gap: float) -> Story:
-        story = Story().tell(0, 2, m3ua.DAVA, 2, "v=2 start=1 age=0")
+def test_rule_4_more_setups_than_a_cold_processor_can_take() -> None:
+    def setups_at_interval(interval: float) -> Recording:
+        recording = Recording().add_list_update(0, 2, m3ua.DAVA, 2, "v=2 start=1 age=0")
         for n in range(100):
-            story.say(100 + n * gap, 2, OFFICE, iam(1 + n, "370020001", f"7{n}"))
-        return story
+            recording.add_isup(100 + n * interval, 2, OFFICE, iam(1 + n, "370020001", f"7{n}"))
+        return recording
 
-    assert sent(gap=15).judge().rules[4] >= 1
-    assert sent(gap=70).judge().rules[4] == 0
+    assert setups_at_interval(interval=15).check().violations_by_rule[4] >= 1
+    assert setups_at_interval(interval=70).check().violations_by_rule[4] == 0
 
 
-def test_rule_5_sent_again_before_the_release_is_over() -> None:
-    def again(after: float, cause: int) -> Verdict:
-        story = begun().say(2_005, 1, 2, rel(5, cause))
-        return story.say(2_005 + after, 1, 3, iam(7, "370020001", "501")).judge()
+def test_rule_5_attempt_repeated_within_the_release_time() -> None:
+    def repeated_after(after: float, cause: int) -> CheckResult:
+        recording = call_with_attempt().add_isup(2_005, 1, 2, rel(5, cause))
+        return recording.add_isup(2_005 + after, 1, 3, iam(7, "370020001", "501")).check()
 
-    assert again(100, causes.TIMER_EXPIRY).rules[5] == 1
-    assert again(205, causes.TIMER_EXPIRY).rules[5] == 0
+    assert repeated_after(100, causes.TIMER_EXPIRY).violations_by_rule[5] == 1
+    assert repeated_after(205, causes.TIMER_EXPIRY).violations_by_rule[5] == 0
 
 
-def test_frames_that_nobody_can_read_are_counted() -> None:
-    story = Story()
-    story.records.append(
+def test_undecodable_frames_are_counted() -> None:
+    recording = Recording()
+    recording.records.append(
         Record(0, tap.FRAME, 1, 2, m3ua.encode_data(m3ua.Data(1, 2, 5, 2, 0, 0, b"\1\0\xee", 1)))
     )
-    assert story.judge().unreadable == 1
+    assert recording.check().unreadable == 1
