--- a/ospreybridge/lab/day.py
+++ b/ospreybridge/lab/day.py
@@ -26,7 +26,7 @@
 from ospreybridge.lab import tap
 from ospreybridge.lab.checker import Checker, CheckerConfig, CheckResult
 from ospreybridge.lab.harness import CALLERS, CENTRE, LIST, OFFICE
-from ospreybridge.lab.relay import DOMAIN, SHARED, load_shared_credentials
+from ospreybridge.lab.relay import DOMAIN, SHARED_CREDENTIALS, load_shared_credentials
 from ospreybridge.lab.script import Day, Trouble
 from ospreybridge.net.loop import EventLoop, Task
 from ospreybridge.net.tls import TlsContexts
@@ -140,7 +140,7 @@
         for name in servers:
             authority.issue(name, [f"{name}.{DOMAIN}"], days=1.0)
         all_names = [*servers, "office", "callers", "list", "centre"]
-        authority.issue(SHARED, [f"{name}.{DOMAIN}" for name in all_names], days=1.0)
+        authority.issue(SHARED_CREDENTIALS, [f"{name}.{DOMAIN}" for name in all_names], days=1.0)
         self.tls_contexts = TlsContexts(load_shared_credentials(self.work_dir))
 
     # -- settings of the call servers
--- a/ospreybridge/lab/relay.py
+++ b/ospreybridge/lab/relay.py
@@ -1,6 +1,7 @@
-"""Stands between all processes of a day: passes bytes on late as told, records every frame, and makes faults.
+"""Relays the connections between processes of a scripted day: delays and records frames, injects faults.
 
-Run as a process: links come as JSON on standard input, one command a line; the ports it listens on go out.
+Runs as a process of its own: commands arrive on standard input as JSON, one per line, and the ports on which
+it listens are written to standard output.
 """
 
 from __future__ import annotations
@@ -25,10 +26,11 @@
 from ospreybridge.signalling.isup import IsupMessage
 
 STREAM_BUFFER_BYTES = 1 << 24
-DOMAIN, SHARED = "example.test", "everybody"  # of the names in a fleet's certificates; the shared set's files
-HANDSHAKE_SLOTS = 4_096  # handshakes at once: the relay must refuse nobody
-BUSY_TURN_MS = 10.0  # ms of one turn that the checker must know of: what came meanwhile was read late
-# Octets of a DATA frame with a routing context: service indicator, circuit (two), ISUP message type.
+# Domain of the names in the fleet's certificates, and the base name of the files of the shared certificate.
+DOMAIN, SHARED_CREDENTIALS = "example.test", "everybody"
+HANDSHAKE_SLOTS = 4_096  # handshakes at once; enough that the relay never refuses one
+BUSY_TURN_MS = 10.0  # longer loop turns are recorded: frames that arrive during them get late timestamps
+# Offsets in a DATA frame with a routing context: service indicator, CIC (two octets), ISUP message type.
 SERVICE, CIC_OFFSET, TYPE = 28, 32, 34
 
 
@@ -37,16 +39,19 @@
 
 
 def load_shared_credentials(folder: Path) -> credentials.Credentials:
-    paths = credentials.CredentialPaths(folder / f"{SHARED}.crt", folder / f"{SHARED}.key", folder / "ca.crt")
+    """The certificate that relays and stand-ins share; it contains the names of all parties."""
+    paths = credentials.CredentialPaths(
+        folder / f"{SHARED_CREDENTIALS}.crt", folder / f"{SHARED_CREDENTIALS}.key", folder / "ca.crt"
+    )
     return credentials.load(paths, time.time())
 
 
 class RelayedConnection:
-    """One connection through the relay: the dialling side `near`, the dialled side `far`."""
+    """One connection through the relay: `client` to the dialling side, `server` to the call server."""
 
     def __init__(self, relay: Relay, link: Link, client: tcp.Stream, server: tcp.Stream) -> None:
         self.relay, self.link, self.client, self.server = relay, link, client, server
-        self.held: list[tuple[tcp.Stream, bytes]] = []
+        self.held: list[tuple[tcp.Stream, bytes]] = []  # data withheld while the link is stalled
         client.on_close = server.on_close = self._on_close
         link.connection = self
         relay.tap.write(relay.loop.clock() * 1_000.0, LINK_UP, link.source, link.target)
@@ -68,14 +73,15 @@
         while True:
             data = yield from stream.read()
             if not data:
-                stream.close("end")
+                stream.close("end of stream")
                 return
             try:
                 frames = splitter.feed(data)
             except FrameError:
-                to.write(data)  # what is not M3UA is for the far end to judge
+                to.write(data)  # the receiver handles data that is not M3UA
                 continue
-            # The moment of the reading, not of the turn: across relays no effect may stand before its cause.
+            # The time of reading, not that of the loop turn: in the merged records of all relays a message
+            # must come before its effects.
             at = relay.loop.clock() * 1_000.0
             forwarded = [frame for frame in frames if not self._is_dropped(frame, source, target)]
             for frame in forwarded:
@@ -98,7 +104,7 @@
             self._deliver(to, data)
 
     def _is_dropped(self, frame: bytes, source: int, target: int) -> bool:
-        """Peer messages that are lost, and the answers to what the relay itself said for the other side."""
+        """Whether to discard a frame: a lost peer message, or the answer to an injected message."""
         if frame[2:4] != b"\1\1":
             return False
         relay = self.relay
@@ -113,7 +119,7 @@
             except MessageError:
                 return False
         if self.link.lost_circuits and len(frame) > TYPE and frame[TYPE] == isup.IAM:
-            # A set-up that crossed the loss of its circuit: it is lost with it, its sender has heard RSC.
+            # The set-up crossed the loss of its circuit and is lost too; its sender receives RSC.
             return _cic(frame) in self.link.lost_circuits
         if self.link.expected_answers and len(frame) > TYPE:
             key = (target, _cic(frame), frame[TYPE])
@@ -123,7 +129,7 @@
         return False
 
     def inject(self, source: int, target: int, message: IsupMessage, answer_type: int) -> None:
-        """Puts a message in as if `source` had sent it; its answer stays here."""
+        """Sends a message as if it came from `source`; the answer is discarded, not forwarded."""
         data = m3ua.Data(
             source, target, m3ua.SI_ISUP, 2, 0, message.cic & 15, isup.encode(message), self.link.context
         )
@@ -134,18 +140,21 @@
 
 
 class Link:
+    """A listening port for connections from `source` to `target`, its delay in ms and injected faults."""
+
     def __init__(self, relay: Relay, source: int, target: int, delay: float, context: int) -> None:
         self.relay, self.source, self.target = relay, source, target
         self.delay, self.context = delay, context
         self.cut = self.stalled = False
         self.connection: RelayedConnection | None = None
-        self.lost_circuits: set[int] = set()  # circuits that are lost
-        self.expected_answers: set[tuple[int, int, int]] = set()
+        self.lost_circuits: set[int] = set()
+        self.expected_answers: set[tuple[int, int, int]] = set()  # point code, CIC, message type
         self.socket = tcp.listen(("127.0.0.1", 0))
         relay.loop.spawn(tcp.accept_connections(relay.loop, self.socket, self._on_accept))
 
     @property
     def port(self) -> int:
+        """The port on which the link listens."""
         return int(self.socket.getsockname()[1])
 
     def _on_accept(self, sock: socket.socket) -> None:
@@ -176,31 +185,33 @@
                 server = tcp.Stream(loop, server_socket, STREAM_BUFFER_BYTES)
         except (OSError, tls.HandshakeError):
             if client is not None:
-                client.close("nobody there")
+                client.close("the call server could not be reached")
             return
         RelayedConnection(self.relay, self, client, server)
 
 
 class Relay:
+    """The links of one relay process, and the commands that change them."""
+
     def __init__(self, tap: Path, seed: int) -> None:
         self.loop = EventLoop()
         self.tap = Tap(tap)
         self.random = random.Random(seed)
         self.links: dict[tuple[int, int], Link] = {}
-        self.ports: dict[int, int] = {}  # where each dialled side listens, by point code
+        self.ports: dict[int, int] = {}  # by point code of the call server; port on which it listens
         self.peer_message_loss = 0.0
-        self.tls_contexts: tls.TlsContexts | None = None  # with keys, both halves of each connection are TLS
+        self.tls_contexts: tls.TlsContexts | None = None  # if set, both sides of each connection use TLS
         self.handshakes = HandshakeScheduler(HANDSHAKE_SLOTS, seed, cpu_share=1.0)
 
     def execute(self, command: dict[str, Any]) -> None:
-        """One order: link, port, cut, heal, stall, lose, block, unblock."""
+        """Executes one command: links, port, lose, stop, cut, heal, stall, block or unblock."""
         match command["do"]:
             case "links":
                 if command["keys"]:
                     self.tls_contexts = tls.TlsContexts(load_shared_credentials(Path(command["keys"])))
                 for source, target, delay, context in command["links"]:
                     self.links[source, target] = Link(self, source, target, delay, context)
-                ports = [[s, t, link.port] for (s, t), link in self.links.items()]
+                ports = [[source, target, link.port] for (source, target), link in self.links.items()]
                 print(json.dumps(ports), flush=True)
             case "port":
                 self.ports[command["of"]] = command["port"]
@@ -229,7 +240,7 @@
             link.stalled = True
         elif action in ("block", "unblock") and connection is not None:
             link.lost_circuits = set(command["cics"]) if action == "block" else set()
-            # Lost circuits: each end hears that the other has reset and blocked them.
+            # Each end receives a reset and a blocking of the lost circuits, as if sent by the other end.
             first, last = min(command["cics"]), max(command["cics"])
             lost = [cic in command["cics"] for cic in range(first, last + 1)]
             parameters = {
@@ -256,6 +267,7 @@
                 self.execute(json.loads(line))
 
     def run(self) -> None:
+        """Relays until the `stop` command or the end of standard input, then closes the tap."""
         self.loop.spawn(self._read_commands())
         with contextlib.suppress(KeyboardInterrupt):
             while self.loop.running:
--- a/ospreybridge/lab/script.py
+++ b/ospreybridge/lab/script.py
@@ -1,4 +1,7 @@
-"""A scripted day in KDL: fleet, traffic, habits, troubles. Times are milliseconds, or seconds as named."""
+"""Reads the KDL script of a day: fleet, traffic, caller behaviour and troubles (injected faults).
+
+Times in a script are milliseconds, except `seconds` and the times of troubles, which are seconds.
+"""
 
 from __future__ import annotations
 
@@ -18,30 +21,31 @@
     number,
     text,
 )
-from ospreybridge.settings.server import SERVER_SPEC as SERVER
+from ospreybridge.settings.server import SERVER_SPEC
 from ospreybridge.standins.callers import Habits, Kind
 from ospreybridge.standins.office import Processor
 
+# Kinds of trouble and their effects.
 KINDS = {
-    "hot-callers": "some exchanges get `factor` times their calls",
-    "burst": "all exchanges get `factor` times their calls",
-    "retry-abuse": "callers dial again at once and often, whatever a refusal says",
-    "cut-calls": "`share` of the standing calls is cut and comes back within `back` s",
+    "hot-callers": "some exchanges originate `factor` times as many calls",
+    "burst": "all exchanges originate `factor` times as many calls",
+    "retry-abuse": "callers redial soon and often, and ignore the retry time of refusals",
+    "cut-calls": "`share` of the established calls is cut; the callers redial within `back` s",
     "slow": "processors take `factor` times as long",
-    "hang": "processors take set-ups and answer none",
-    "silent": "processors go silent, their calls stay, and they come back cold",
-    "crash": "processors die, calls that touch them are cut, and they come back cold",
-    "deploy": "processors drain, stop after `grace` s and come back cold",
-    "lost-circuits": "groups between zones lose `share` of their circuits",
-    "renew-keys": "call servers of a fleet over TLS get new certificates; their links move over within `for`",
-    "call-server-killed": "call servers are killed and started again",
-    "call-server-stalled": "call servers stand still",
+    "hang": "processors accept set-ups but answer none",
+    "silent": "processors stop answering, then restart cold; established calls stay until the restart",
+    "crash": "processors crash, calls through them are cut, and they restart cold",
+    "deploy": "processors drain, stop after `grace` s and restart cold, one after another",
+    "lost-circuits": "trunk groups between zones lose `share` of their circuits",
+    "renew-keys": "call servers with TLS get new certificates; their links move over within `for` s",
+    "call-server-killed": "call servers are killed and restarted",
+    "call-server-stalled": "call servers are suspended and resumed",
     "peer-messages-lost": "`share` of the messages between call servers is lost",
-    "stale-list": "the exchange list tells nothing new",
-    "link-cut": "associations between exchanges drop and return",
-    "half-frame": "an association stops in the middle of a frame and stays silent",
+    "stale-list": "the exchange list sends no updates and answers audits with its old state",
+    "link-cut": "associations between exchanges are closed and cannot be reopened for `for` s",
+    "half-frame": "associations between exchanges stay open but deliver nothing for `for` s",
 }
-_SECONDS_OF_A_DAY = number(0, 86_400)
+_TIME_S = number(0, 86_400)
 _SHARE = number(0, 1)
 SCRIPT_SPEC = NodeSpec(
     children={
@@ -92,32 +96,32 @@
         "class": NodeSpec(
             ValueSpec(text, required=True),
             {
-                **SERVER.children["class"].properties,
+                **SERVER_SPEC.children["class"].properties,
                 "share": ValueSpec(_SHARE, 1.0),
                 "category": ValueSpec(integer(0, 255), 10),
             },
         ),
         "tenant": NodeSpec(
             ValueSpec(text, required=True),
-            dict(SERVER.children["tenant"].properties),
+            dict(SERVER_SPEC.children["tenant"].properties),
             {"calling-prefix": NodeSpec(ValueSpec(digits, required=True), many_arguments=True)},
         ),
-        "rules": SERVER.children["rules"],
-        "limits": SERVER.children["limits"],
-        "goal": SERVER.children["goal"],
+        "rules": SERVER_SPEC.children["rules"],
+        "limits": SERVER_SPEC.children["limits"],
+        "goal": SERVER_SPEC.children["goal"],
         "module": NodeSpec(
             properties={"over-share-worth": ValueSpec(_SHARE, 1.0), "advice": ValueSpec(flag, True)}
         ),
         "trouble": NodeSpec(
             ValueSpec(choice(*KINDS), required=True),
             {
-                "at": ValueSpec(_SECONDS_OF_A_DAY, 0.0, True),
-                "for": ValueSpec(_SECONDS_OF_A_DAY, 0.0),
+                "at": ValueSpec(_TIME_S, 0.0, True),
+                "for": ValueSpec(_TIME_S, 0.0),
                 "share": ValueSpec(_SHARE),
                 "factor": ValueSpec(number(0, 1_000), 3.0),
                 "exchanges": ValueSpec(text, ""),
-                "back": ValueSpec(_SECONDS_OF_A_DAY, 2.0),
-                "grace": ValueSpec(_SECONDS_OF_A_DAY, 2.0),
+                "back": ValueSpec(_TIME_S, 2.0),
+                "grace": ValueSpec(_TIME_S, 2.0),
             },
         ),
     }
@@ -126,18 +130,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
+    """An injected fault of the script."""
+
     kind: str
-    at: float  # seconds of the day
+    at: float  # seconds from the start of the day; the other times are seconds too
     duration: float
     share: float
     factor: float
-    exchanges: tuple[int, ...]  # named ones; empty: drawn by `share`
+    exchanges: tuple[int, ...]  # empty: `share` of all, chosen at random
     return_within: float
     grace: float
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
+    """A checked script.
+
+    `seconds` and the times in dicts, nodes and troubles are those of the script; the others are divided by
+    `speedup`.
+    """
+
     name: str
     seconds: float
     speedup: float
@@ -158,21 +170,24 @@
     troubles: tuple[Trouble, ...] = field(default=())
 
     def scale_ms(self, value: float) -> float:
-        """A duration of the script as it is on this day's clock."""
+        """Converts a duration of the script to one of this run: a day may run faster than real time."""
         return value / self.speedup
 
 
 def _properties(top: ParsedNode, name: str) -> dict[str, Any]:
-    part = top.first_child(name)
+    node = top.first_child(name)
     return (
-        part.properties
-        if part
+        node.properties
+        if node
         else {key: spec.default for key, spec in SCRIPT_SPEC.children[name].properties.items()}
     )
 
 
-def load(path: Path, speedup: float | None = None, with_troubles: bool = True) -> Day:
-    """A checked day; SettingsError names every fault. `factor` and `troubles=False` override the script."""
+def load(path: Path, speedup_override: float | None = None, with_troubles: bool = True) -> Day:
+    """Reads and checks a script; SettingsError lists every error.
+
+    `speedup_override` replaces the script's factor, and `with_troubles=False` leaves out its troubles.
+    """
     reader = Reader(path)
     top = reader.read(SCRIPT_SPEC)
     day = top.first_child("day")
@@ -182,36 +197,36 @@
         reader.add_error(1, "class", "at least one is needed")
     fleet = _properties(top, "fleet")
     troubles = []
-    for part in top.children_named("trouble"):
-        exchanges = tuple(int(x) for x in part["exchanges"].split(",") if x.strip().isdigit())
-        if any(not 1 <= name <= fleet["exchanges"] for name in exchanges):
-            reader.add_error(part.line, "trouble exchanges", f"numbers from 1 to {fleet['exchanges']}")
+    for node in top.children_named("trouble"):
+        exchanges = tuple(int(item) for item in node["exchanges"].split(",") if item.strip().isdigit())
+        if any(not 1 <= n <= fleet["exchanges"] for n in exchanges):
+            reader.add_error(node.line, "trouble exchanges", f"numbers from 1 to {fleet['exchanges']}")
         if (
-            part["share"] is None
+            node["share"] is None
             and not exchanges
-            and part.argument not in ("burst", "stale-list", "retry-abuse")
+            and node.argument not in ("burst", "stale-list", "retry-abuse")
         ):
-            reader.add_error(part.line, "trouble", "exchanges or share is needed")
-        share = 1.0 if part["share"] is None else part["share"]
+            reader.add_error(node.line, "trouble", "exchanges or share is needed")
+        share = 1.0 if node["share"] is None else node["share"]
         troubles.append(
             Trouble(
-                part.argument,
-                part["at"],
-                part["for"],
+                node.argument,
+                node["at"],
+                node["for"],
                 share,
-                part["factor"],
+                node["factor"],
                 exchanges,
-                part["back"],
-                part["grace"],
+                node["back"],
+                node["grace"],
             )
         )
-        if part.argument == "renew-keys" and not fleet["tls"]:
-            reader.add_error(part.line, "trouble", "renew-keys needs fleet tls=true")
-        if day is not None and part["at"] > day["seconds"]:
-            reader.add_error(part.line, "trouble at", f"within the day's {day['seconds']:g} seconds")
+        if node.argument == "renew-keys" and not fleet["tls"]:
+            reader.add_error(node.line, "trouble", "renew-keys needs fleet tls=true")
+        if day is not None and node["at"] > day["seconds"]:
+            reader.add_error(node.line, "trouble at", f"within the day's {day['seconds']:g} seconds")
     reader.raise_errors()
     assert day is not None
-    scale = speedup or day["factor"]
+    speedup = speedup_override or day["factor"]
     callers, processor, rules = (
         _properties(top, "callers"),
         _properties(top, "processor"),
@@ -219,38 +234,41 @@
     )
     call_kinds = tuple(
         Kind(
-            part.argument,
-            part["share"],
-            part["category"],
-            part["width"],
-            part["on-time"] / scale,
-            part["deadline"] / scale,
-            part["hold"] / scale,
+            node.argument,
+            node["share"],
+            node["category"],
+            node["width"],
+            node["on-time"] / speedup,
+            node["deadline"] / speedup,
+            node["hold"] / speedup,
         )
-        for part in top.children_named("class")
+        for node in top.children_named("class")
     )
     list_delays = _properties(top, "list")
     return Day(
         name=day.argument,
         seconds=day["seconds"],
-        speedup=scale,
+        speedup=speedup,
         seed=day["seed"],
         fleet=fleet,
-        calls_per_s=_properties(top, "traffic")["rate"] * scale,
+        calls_per_s=_properties(top, "traffic")["rate"] * speedup,
         habits=Habits(
-            callers["patience"] / scale, callers["redials"], callers["redial-after"] / scale, callers["heeds"]
+            callers["patience"] / speedup,
+            callers["redials"],
+            callers["redial-after"] / speedup,
+            callers["heeds"],
         ),
         processor=Processor(
-            setup=processor["setup"] / scale,
-            release=processor["release"] / scale,
-            refuse_after=processor["refuse-after"] / scale,
+            setup=processor["setup"] / speedup,
+            release=processor["release"] / speedup,
+            refuse_after=processor["refuse-after"] / speedup,
             cold_share=rules["cold-share"],
-            warm_after=rules["warm-after"] / scale,
+            warm_after=rules["warm-after"] / speedup,
             overload_factor=rules["overload-factor"],
-            overload_for=rules["overload-for"] / scale,
+            overload_for=rules["overload-for"] / speedup,
         ),
-        list_delay_ms=(list_delays["delay-low"] / scale, list_delays["delay-high"] / scale),
-        centre_interval_ms=_properties(top, "centre")["every"] / scale,
+        list_delay_ms=(list_delays["delay-low"] / speedup, list_delays["delay-high"] / speedup),
+        centre_interval_ms=_properties(top, "centre")["every"] / speedup,
         call_kinds=call_kinds,
         classes=tuple(top.children_named("class")),
         tenants=tuple(top.children_named("tenant")),
--- a/ospreybridge/lab/tap.py
+++ b/ospreybridge/lab/tap.py
@@ -1,4 +1,4 @@
-"""What passed on the sockets: a plain file of records, and its form for Wireshark (exported PDUs)."""
+"""Records of the frames that passed a relay, and their export to pcapng for Wireshark (exported PDUs)."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from pcapng import FileWriter
 from pcapng.blocks import EnhancedPacket, InterfaceDescription, SectionHeader
 
-RECORD_HEADER = struct.Struct(">dBHHI")  # ms of the monotonic clock, kind, from, to, octets that follow
+RECORD_HEADER = struct.Struct(">dBHHI")  # ms of the monotonic clock, kind, source, target, size of the frame
 FRAME, LINK_UP, LINK_DOWN, INJECTED, RELAY_BUSY = 0, 1, 2, 3, 4
-BUSY_PAYLOAD = struct.Struct(">d")  # with BUSY: when the relay's long turn began
+BUSY_PAYLOAD = struct.Struct(">d")  # in place of a frame: start of the long loop turn (ms)
 LINKTYPE_WIRESHARK_UPPER_PDU = 252
+# Tags of the exported-PDU format.
 (
     _TAG_DISSECTOR_NAME,
     _TAG_IPV4_SOURCE,
@@ -29,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One frame between two point codes, or a link that came up or went down between them."""
+    """One frame or state change of a link between two point codes, or a long loop turn of the relay.
+
+    `at` is in milliseconds of the monotonic clock.
+    """
 
     at: float
     kind: int
@@ -39,7 +43,7 @@
 
 
 class Tap:
-    """Appends records; buffered, so `flush` before another process reads."""
+    """Writes records to a file; the output is buffered until `close`."""
 
     def __init__(self, path: Path) -> None:
         self.file: BinaryIO = path.open("wb")
@@ -52,7 +56,7 @@
 
 
 def read_records(path: Path) -> Iterator[Record]:
-    """Whole records; a last one cut off by a kill is left out."""
+    """All complete records; one truncated at the end, by a killed relay, is skipped."""
     data = path.read_bytes()
     offset = 0
     while offset + RECORD_HEADER.size <= len(data):
@@ -65,7 +69,7 @@
 
 
 def merge_taps(paths: list[Path]) -> list[Record]:
-    """Records of several taps of one machine, in the order of their time."""
+    """The records of several taps of one machine in order of time."""
     return sorted((record for path in paths for record in read_records(path)), key=lambda record: record.at)
 
 
@@ -74,7 +78,7 @@
 
 
 def encode_exported_pdu(source: int, target: int, frame: bytes) -> bytes:
-    """One frame with the tags that Wireshark's exported-PDU dissector reads; point codes are addresses."""
+    """A frame with Wireshark's exported-PDU tags; point codes appear as IPv4 addresses 10.0.x.y."""
     name = b"m3ua"
     tags = _encode_tag(_TAG_DISSECTOR_NAME, name + b"\0" * (-len(name) % 4))
     for code, number in ((_TAG_IPV4_SOURCE, source), (_TAG_IPV4_DESTINATION, target)):
@@ -87,7 +91,7 @@
 
 
 class Capture:
-    """A pcapng file of exported PDUs, written as frames pass."""
+    """Writes frames to a pcapng file of exported PDUs."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("wb")
@@ -96,7 +100,7 @@
         self.writer = FileWriter(self.file, self.section)
 
     def note(self, at: float, source: int, target: int, frame: bytes) -> None:
-        """`at` in milliseconds."""
+        """Appends one frame with its time `at` in milliseconds."""
         packet = self.section.new_member(EnhancedPacket)
         packet.timestamp = at / 1_000.0
         packet.packet_data = encode_exported_pdu(source, target, frame)
