--- a/ospreybridge/cli/__init__.py
+++ b/ospreybridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Sub-commands; the only place that prints for people."""
+"""Sub-commands of the `ospreybridge` command; only they print to the terminal."""
--- a/ospreybridge/cli/keys.py
+++ b/ospreybridge/cli/keys.py
@@ -1,4 +1,4 @@
-"""`ospreybridge keys`: a test authority, certificates, what they say, and whether a set fits its settings."""
+"""`ospreybridge keys`: a test authority, certificates, and a check of the credentials of settings."""
 
 from __future__ import annotations
 
@@ -10,145 +10,152 @@
 import click
 from cryptography import x509
 
-from ospreybridge.keys import certificate_info as read_facts
-from ospreybridge.keys import credentials, validation
+from ospreybridge.keys import certificate_info, credentials, validation
 from ospreybridge.keys.authority import CA_FILE_STEM, CertificateAuthority
 from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH, CertificateInfo
 from ospreybridge.net.tls import TlsContexts
 from ospreybridge.settings.errors import SettingsError
 from ospreybridge.settings.server import load
 
-FOLDER = click.Path(file_okay=False, path_type=Path)
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-DAY = 86_400.0
+DIRECTORY = click.Path(file_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+SECONDS_PER_DAY = 86_400.0
 
 
 @click.group()
 def keys() -> None:
-    """Certificates and keys of the links.
+    """Manages certificates and keys of TLS links.
 
     \b
-    A fleet for trials, from nothing:
-      ospreybridge keys authority trial               a test authority in trial/
-      ospreybridge keys issue trial cs1.example.test  trial/cs1.crt and trial/cs1.key
-      ospreybridge keys check cs1.kdl                 does the set fit the settings?
+    Credentials for a test fleet:
+      ospreybridge keys authority trial               creates a test authority in trial/
+      ospreybridge keys issue trial cs1.example.test  writes trial/cs1.crt and trial/cs1.key
+      ospreybridge keys check cs1.kdl                 checks the credentials of the settings
     """
 
 
-def _fail(text: str) -> None:
+def _exit_with_error(text: str) -> None:
     click.echo(text, err=True)
     sys.exit(2)
 
 
-def _open(folder: Path) -> CertificateAuthority:
+def _open_authority(folder: Path) -> CertificateAuthority:
     try:
         return CertificateAuthority.open(folder)
     except (OSError, ValueError) as error:
-        _fail(f"{folder}: holds no test authority: {error}")
+        _exit_with_error(f"{folder}: cannot open a test authority: {error}")
         raise AssertionError from error
 
 
 @keys.command()
-@click.argument("folder", type=FOLDER)
-@click.option("--days", default=365.0, show_default=True, help="How long it holds.")
+@click.argument("folder", type=DIRECTORY)
+@click.option("--days", default=365.0, show_default=True, help="Validity in days.")
 @click.option("--name", default="ospreybridge test authority", show_default=True)
 def authority(folder: Path, days: float, name: str) -> None:
-    """Makes a test authority in FOLDER: ca.crt (the trust file), ca.key and ca.crl (nothing revoked yet).
+    """Creates a test authority in FOLDER: ca.crt (the trust file), ca.key and ca.crl (nothing revoked yet).
 
-    An authority that stands there already is left alone. For trials: a real network has its own.
+    An existing authority is not replaced. For tests only: a production network has its own authority.
     """
     if (folder / f"{CA_FILE_STEM}.key").exists():
-        _fail(f"{folder}: has an authority already; take another folder or remove it first")
+        _exit_with_error(f"{folder}: already has an authority; choose another folder or remove it first")
     CertificateAuthority.create(folder, days, name)
     click.echo(f"{folder}: ca.crt, ca.key, ca.crl")
 
 
 @keys.command()
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=DIRECTORY)
 @click.argument("names", nargs=-1, required=True)
-@click.option("--file", help="Name of the files; if not told, the first label of the first name.")
-@click.option("--days", default=90.0, show_default=True, help="How long it holds.")
-@click.option("--rsa", default=0, help="An RSA key of so many bits in place of P-256.")
+@click.option("--file", help="Name of the files; default: the first label of the first name.")
+@click.option("--days", default=90.0, show_default=True, help="Validity in days.")
+@click.option("--rsa", default=0, help="Size in bits of an RSA key to use instead of P-256.")
 def issue(folder: Path, names: tuple[str, ...], file: str | None, days: float, rsa: int) -> None:
-    """Issues a certificate that shows NAMES in its SAN, good for dialling and being dialled.
+    """Issues a certificate with NAMES in its SAN, valid for both the dialling and the listening side.
 
-    Files that stand there are replaced, each whole; a running server takes the new set up by itself.
+    Existing files are replaced atomically; a running server loads the new credentials by itself.
     """
     if rsa and not validation.MIN_KEY_BITS["RSA"] <= rsa <= 8_192:
         raise click.UsageError(f"--rsa: from {validation.MIN_KEY_BITS['RSA']} to 8192 bits")
-    made = file or names[0].partition(".")[0]
+    file_stem = file or names[0].partition(".")[0]
     try:
-        _open(folder).issue(made, list(names), days, rsa_bits=rsa)
+        _open_authority(folder).issue(file_stem, list(names), days, rsa_bits=rsa)
     except ValueError as error:
-        _fail(f"{names}: {error}")
-    click.echo(f"{folder}: {made}.crt, {made}.key for {', '.join(names)}, {days:g} days")
+        _exit_with_error(f"{names}: {error}")
+    click.echo(f"{folder}: {file_stem}.crt, {file_stem}.key for {', '.join(names)}, {days:g} days")
 
 
 @keys.command()
-@click.argument("folder", type=FOLDER)
-@click.argument("certificate", type=FILE)
+@click.argument("folder", type=DIRECTORY)
+@click.argument("certificate", type=EXISTING_FILE)
 def revoke(folder: Path, certificate: Path) -> None:
     """Puts CERTIFICATE on the revocation list of the authority in FOLDER."""
-    authority = _open(folder)
-    serial = _read(certificate)[0].serial
+    authority = _open_authority(folder)
+    serial = _read_certificates(certificate)[0].serial
     authority.write_revocation_list(sorted({*authority.revoked_serials(), serial}))
     click.echo(f"{folder / 'ca.crl'}: {len(authority.revoked_serials())} revoked, with serial {serial:x}")
 
 
-def _read(path: Path) -> list[CertificateInfo]:
+def _read_certificates(path: Path) -> list[CertificateInfo]:
     try:
         return [
-            read_facts.from_certificate(one) for one in x509.load_pem_x509_certificates(path.read_bytes())
+            certificate_info.from_certificate(certificate)
+            for certificate in x509.load_pem_x509_certificates(path.read_bytes())
         ]
     except (ValueError, OSError) as error:
-        _fail(f"{path}: no PEM certificate: {error}")
+        _exit_with_error(f"{path}: no PEM certificate: {error}")
         raise AssertionError from error
 
 
-def _left(end: float, now: float) -> str:
-    day = datetime.fromtimestamp(end, UTC).strftime("%Y-%m-%d %H:%M UTC")
-    return f"{day}, {(end - now) / DAY:.1f} days left" if end > now else f"{day}, OVER"
+def _format_expiry(expires_at: float, now: float) -> str:
+    date = datetime.fromtimestamp(expires_at, UTC).strftime("%Y-%m-%d %H:%M UTC")
+    return (
+        f"{date}, {(expires_at - now) / SECONDS_PER_DAY:.1f} days left"
+        if expires_at > now
+        else f"{date}, OVER"
+    )
 
 
 @keys.command()
-@click.argument("files", nargs=-1, required=True, type=FILE)
+@click.argument("files", nargs=-1, required=True, type=EXISTING_FILE)
 def show(files: tuple[Path, ...]) -> None:
-    """Shows what certificates say: names, dates, key, purposes, and what a peer would refuse."""
+    """Shows names, dates, key and purposes of certificates, and why a peer would refuse them."""
     now = time.time()
     for path in files:
-        for facts in _read(path):
-            faults = {
-                str(validation.certificate_error(facts, now, purpose, ()))
+        for certificate in _read_certificates(path):
+            refusal_reasons = {
+                str(validation.certificate_error(certificate, now, purpose, ()))
                 for purpose in (SERVER_AUTH, CLIENT_AUTH)
             } - {"None"}
-            if facts.is_ca:
-                faults -= {str(validation.FailureReason.WRONG_PURPOSE)}
+            if certificate.is_ca:
+                refusal_reasons -= {str(validation.FailureReason.WRONG_PURPOSE)}
             click.echo(f"{path}")
             rows = [
-                ("names", ", ".join(facts.dns_names) or "none"),
-                ("kind", "authority" if facts.is_ca else "end"),
-                ("begins", datetime.fromtimestamp(facts.not_before, UTC).strftime("%Y-%m-%d %H:%M UTC")),
-                ("ends", _left(facts.not_after, now)),
-                ("key", f"{facts.key_type} {facts.key_bits}"),
-                ("purposes", ", ".join(sorted(facts.purposes)) or "none of a link's"),
-                ("serial", f"{facts.serial:x}"),
-                ("refused as", ", ".join(sorted(faults)) or "-"),
+                ("names", ", ".join(certificate.dns_names) or "none"),
+                ("kind", "authority" if certificate.is_ca else "end"),
+                (
+                    "begins",
+                    datetime.fromtimestamp(certificate.not_before, UTC).strftime("%Y-%m-%d %H:%M UTC"),
+                ),
+                ("ends", _format_expiry(certificate.not_after, now)),
+                ("key", f"{certificate.key_type} {certificate.key_bits}"),
+                ("purposes", ", ".join(sorted(certificate.purposes)) or "none of a link's"),
+                ("serial", f"{certificate.serial:x}"),
+                ("refused as", ", ".join(sorted(refusal_reasons)) or "-"),
             ]
             for name, value in rows:
                 click.echo(f"  {name:<12}{value}")
 
 
 @keys.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def check(file: Path) -> None:
-    """Holds the set that settings FILE names against it: key, chain, names, dates, revocation, modes.
+    """Checks the credentials that settings FILE names: key, chain, names, dates, revocation, file modes.
 
-    Exit code 0: sound; 1: sound, but something ends within the first of the warning days; 2: not sound.
+    Exit code 0: valid; 1: valid, but something expires within the first of the warning days; 2: invalid.
     """
     try:
         settings = load(file)
     except SettingsError as error:
-        _fail("\n".join(error.errors))
+        _exit_with_error("\n".join(error.errors))
         return
     if settings.tls is None:
         plain = sum(not peer.tls_name for peer in settings.peers)
@@ -156,19 +163,20 @@
         return
     now = time.time()
     try:
-        held = credentials.load(settings.tls.paths, now, settings.tls.name)
-        TlsContexts(held, settings.tls.allow_12)
+        loaded = credentials.load(settings.tls.paths, now, settings.tls.name)
+        TlsContexts(loaded, settings.tls.allow_12)
     except credentials.CredentialsError as error:
-        _fail("\n".join(error.errors))
+        _exit_with_error("\n".join(error.errors))
         return
-    click.echo(f"{file}: set {held.digest} is sound, names {', '.join(held.own_certificate.dns_names)}")
-    for name, end in held.expiry_times.items():
-        click.echo(f"  {name}: {_left(end, now)}")
-    if held.crl_next_update is not None:
+    click.echo(f"{file}: set {loaded.digest} is sound, names {', '.join(loaded.own_certificate.dns_names)}")
+    for name, expires_at in loaded.expiry_times.items():
+        click.echo(f"  {name}: {_format_expiry(expires_at, now)}")
+    if loaded.crl_next_update is not None:
         click.echo(
-            f"  revocation list, next due: {_left(held.crl_next_update, now)}; {len(held.revoked)} revoked"
+            f"  revocation list, next due: {_format_expiry(loaded.crl_next_update, now)}; "
+            f"{len(loaded.revoked)} revoked"
         )
-    secured = [peer for peer in settings.peers if peer.tls_name]
-    click.echo(f"  {len(secured)} peers over TLS, {len(settings.peers) - len(secured)} plain")
-    first = max(settings.tls.warn_days, default=0.0)
-    sys.exit(1 if min(held.expiry_times.values()) - now < first * DAY else 0)
+    tls_peers = [peer for peer in settings.peers if peer.tls_name]
+    click.echo(f"  {len(tls_peers)} peers over TLS, {len(settings.peers) - len(tls_peers)} plain")
+    warn_days = max(settings.tls.warn_days, default=0.0)
+    sys.exit(1 if min(loaded.expiry_times.values()) - now < warn_days * SECONDS_PER_DAY else 0)
--- a/ospreybridge/cli/logs.py
+++ b/ospreybridge/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line as JSON on standard error, or readable for people."""
+"""Structured logs on standard error: one JSON object per line, or text for people."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 import structlog
 
 
-def logger(form: str, name: str) -> Callable[..., None]:
-    """A function `log(event, **fields)`; the call's reference is its field `ref`."""
+def make_logger(log_format: str, server_name: str) -> Callable[..., None]:
+    """Returns a function `log(event, **fields)`; `log_format` is "json" or "text".
+
+    The reference of a call is logged as the field `ref`.
+    """
     render = (
         structlog.processors.JSONRenderer(default=str)
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -24,7 +27,7 @@
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
         cache_logger_on_first_use=True,
     )
-    bound = structlog.get_logger().bind(server=name)
+    bound = structlog.get_logger().bind(server=server_name)
 
     def log(event: str, **fields: object) -> None:
         bound.msg(event, **fields)
--- a/ospreybridge/lab/echo.py
+++ b/ospreybridge/lab/echo.py
@@ -1,4 +1,7 @@
-"""A bare echo on the same loop and streams: what the bytes alone cost. Its argument is the port file."""
+"""Echo server on the event loop and streams of a call server: the baseline for the cost of a call.
+
+Run as a process with the port file as its argument.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,7 @@
 
 
 def serve(port_file: Path) -> None:
+    """Echoes what it receives until SIGTERM; writes the port listened on to `port_file`."""
     loop = EventLoop()
 
     def stop() -> None:
@@ -26,10 +30,10 @@
     listener = tcp.listen(("127.0.0.1", 0))
     loop.on_signals({signal.SIGTERM: stop})
 
-    def accepted(sock: socket.socket) -> None:
+    def on_accept(sock: socket.socket) -> None:
         loop.spawn(echo(sock))
 
-    loop.spawn(tcp.accept_connections(loop, listener, accepted))
+    loop.spawn(tcp.accept_connections(loop, listener, on_accept))
     port_file.write_text(f"{listener.getsockname()[1]}\n")
     loop.run()
 
--- a/ospreybridge/lab/harness.py
+++ b/ospreybridge/lab/harness.py
@@ -1,6 +1,6 @@
-"""A call server without sockets: links that keep what goes out, and the far ends' messages by hand.
+"""Runs a call server without sockets and on a simulated clock, for measurements and tests.
 
-Used by measurements and by tests: time is what the caller says it is.
+Messages that the call server sends are recorded per link; the caller passes in messages of the far ends.
 """
 
 from __future__ import annotations
@@ -8,24 +8,35 @@
 from collections import deque
 from collections.abc import Callable
 
-from ospreybridge import interface as i
+from ospreybridge import interface
 from ospreybridge.core.callserver import CallServer
 from ospreybridge.core.exchange_list import format_info
 from ospreybridge.core.timers import TimerQueue
-from ospreybridge.settings.server import ClassRule, Peer, ServerSettings
-from ospreybridge.settings.server import TimerSettings as Settings
-from ospreybridge.settings.server import parse_cic_ranges as cics
+from ospreybridge.settings.server import ClassRule, Peer, ServerSettings, TimerSettings, parse_cic_ranges
 from ospreybridge.signalling import isup, m3ua
 from ospreybridge.signalling.isup import IsupMessage
 
-# Point codes of the lab: an exchange's is its number, its office's and callers' are these plus its number.
+# Point codes of the lab. An exchange has its number as its point code; its office and its callers have the
+# first two of these plus that number.
 OFFICE, CALLERS, LIST, CENTRE = 1_000, 2_000, 16_000, 16_001
 
 
 def server(exchanges: int, circuits: int = 30, access: int = 300, **changes: object) -> ServerSettings:
-    """Exchange 1 of a mesh; called numbers 37 and three digits of the exchange's number lead to it."""
+    """Returns settings of exchange 1 in a full mesh of `exchanges`.
+
+    Called numbers that begin with 37 and the three-digit number of an exchange lead to it. `circuits` is the
+    size of each trunk group, `access` the number of access circuits; `changes` replaces fields of the result.
+    """
     peers = [
-        Peer(f"cs{n}", "exchange", n, 100 + n, n, dial_address=("127.0.0.1", 1), cics=cics([f"1-{circuits}"]))
+        Peer(
+            f"cs{n}",
+            "exchange",
+            n,
+            100 + n,
+            n,
+            dial_address=("127.0.0.1", 1),
+            cics=parse_cic_ranges([f"1-{circuits}"]),
+        )
         for n in range(2, exchanges + 1)
     ]
     peers.append(
@@ -35,12 +46,12 @@
             OFFICE,
             1,
             dial_address=("127.0.0.1", 1),
-            cics=cics([f"1-{min(access, 3_900)}"]),
+            cics=parse_cic_ranges([f"1-{min(access, 3_900)}"]),
         )
     )
-    for extra in range(0, access, 3_900):
-        size = min(3_900, access - extra)
-        code = CALLERS + extra // 3_900
+    for offset in range(0, access, 3_900):
+        size = min(3_900, access - offset)
+        code = CALLERS + offset // 3_900
         peers.append(
             Peer(
                 f"callers{code}",
@@ -48,11 +59,11 @@
                 code,
                 code,
                 dial_address=("127.0.0.1", 1),
-                cics=cics([f"1-{size}"]),
+                cics=parse_cic_ranges([f"1-{size}"]),
             )
         )
     peers.append(Peer("list", "list", LIST, 3, dial_address=("127.0.0.1", 1)))
-    given: dict[str, object] = {
+    fields: dict[str, object] = {
         "name": "cs1",
         "number": 1,
         "point_code": 1,
@@ -62,13 +73,13 @@
         "peers": tuple(peers),
         "class_rules": (ClassRule((10,), ()), ClassRule((11,), ())),
         "classes": (
-            i.CallClass(2_000.0, 9_000.0, hold=10_000.0, name="narrow"),
-            i.CallClass(2_000.0, 9_000.0, hold=10_000.0, width=2.0, name="wide"),
+            interface.CallClass(2_000.0, 9_000.0, hold=10_000.0, name="narrow"),
+            interface.CallClass(2_000.0, 9_000.0, hold=10_000.0, width=2.0, name="wide"),
         ),
         "tenants": (),
         "tenant_prefixes": {},
         "prefixes": {f"37{n:03d}": n for n in range(1, exchanges + 1)},
-        "rules": i.Rules(
+        "rules": interface.Rules(
             release=200.0,
             drain_grace=250.0,
             warm_after=14_000.0,
@@ -77,18 +88,18 @@
             cold_share=0.3,
             ask_within=10_000.0,
         ),
-        "limits": i.Limits(
+        "limits": interface.Limits(
             cancel=True, max_tries=4, peer_messages=False, retry_after=True, max_retry_after=2_000.0
         ),
-        "goal": i.Goal(),
-        "timers": Settings(),
+        "goal": interface.Goal(),
+        "timers": TimerSettings(),
         "seed": 5,
     }
-    return ServerSettings(**(given | changes))  # type: ignore[arg-type]
+    return ServerSettings(**(fields | changes))  # type: ignore[arg-type]
 
 
-class Wire:
-    """One link: what the call server sent on it, decoded, oldest first."""
+class LinkRecorder:
+    """One link; `sent` holds the decoded ISUP messages that the call server sent on it, oldest first."""
 
     def __init__(self, harness: Harness, point_code: int) -> None:
         self.harness, self.point_code = harness, point_code
@@ -96,7 +107,7 @@
 
     def send_data(self, service: int, sls: int, body: bytes) -> None:
         if service == m3ua.SI_ISUP:
-            self.harness.out(self.point_code, isup.decode(body))
+            self.harness.record_sent(self.point_code, isup.decode(body))
 
     def probe(self, on_result: Callable[[float, float | None], None]) -> None:
         on_result(self.harness.now, 1.0)
@@ -106,58 +117,63 @@
 
 
 class Harness:
+    """A call server with recorded links; `now` is its clock in ms."""
+
     def __init__(self, settings: ServerSettings, keep: bool = True) -> None:
         self.timers = TimerQueue()
         self.core = CallServer(settings, self.timers)
-        self.now, self.keep = 1_000.0, keep
-        self.wires = {peer.point_code: Wire(self, peer.point_code) for peer in settings.peers}
-        self.watch: Callable[[int, IsupMessage], None] | None = None
+        self.now, self.keep = 1_000.0, keep  # ms; whether sent messages are recorded
+        self.wires = {peer.point_code: LinkRecorder(self, peer.point_code) for peer in settings.peers}
+        self.watch: Callable[[int, IsupMessage], None] | None = None  # called with each message sent
 
-    def out(self, point_code: int, message: IsupMessage) -> None:
+    def record_sent(self, point_code: int, message: IsupMessage) -> None:
         if self.keep:
             self.wires[point_code].sent.append(message)
         if self.watch is not None:
             self.watch(point_code, message)
 
     def up(self, *point_codes: int) -> None:
-        """Links become active, and the far ends acknowledge the reset of their circuits."""
+        """Activates the given links (default: all); the far ends acknowledge the reset of their circuits."""
         for code in point_codes or self.wires:
             self.core.link_up(self.now, code, self.wires[code])
             for message in list(self.wires[code].sent):
                 if message.type == isup.GRS:
                     count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
-                    octets = isup.encode_range_status(count, [False] * count)
-                    self.give(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: octets}))
+                    range_status = isup.encode_range_status(count, [False] * count)
+                    self.give(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: range_status}))
                 elif message.type == isup.RSC:
                     self.give(code, IsupMessage(message.cic, isup.RLC))
             self.wires[code].sent.clear()
 
     def ready(self, version: int = 1, kind: tuple[int, int] = m3ua.DAVA, *exchanges: int) -> None:
-        """The list tells the named exchanges (all of them by default)."""
+        """Sends list updates of the given kind for the given exchanges (default: all)."""
         for code in exchanges or (1, *self.core.exchange_codes.values()):
             self.core.receive_list_update(self.now, kind, [(0, code)], format_info(version, 0, 0))
 
     def give(self, point_code: int, message: IsupMessage) -> None:
+        """Passes a message of a far end to the call server."""
         body = isup.encode(message)
         data = m3ua.Data(point_code, 1, m3ua.SI_ISUP, 2, 0, message.cic & 15, body)
         self.core.receive_data(self.now, point_code, data)
 
     def take(self, point_code: int) -> list[IsupMessage]:
+        """Returns the messages sent on a link since the last call, and forgets them."""
         sent = list(self.wires[point_code].sent)
         self.wires[point_code].sent.clear()
         return sent
 
     def advance(self, ms: float) -> None:
-        """Time passes; timers run at their own moments."""
+        """Moves the clock on by `ms` and runs each timer at its due time."""
         end = self.now + ms
-        while (due := self.timers.next_due()) is not None and due <= end:
-            self.now = max(self.now, due)
+        while (due_at := self.timers.next_due()) is not None and due_at <= end:
+            self.now = max(self.now, due_at)
             self.timers.run_due(self.now)
         self.now = end
 
 
-def iam(cic: int, called: str, calling: str = "5000001", width: int = 1, **words: int) -> IsupMessage:
-    given = {
+def iam(cic: int, called: str, calling: str = "5000001", width: int = 1, **user_words: int) -> IsupMessage:
+    """Builds an IAM of a call `width` circuits wide; `user_words` go into the user-to-user information."""
+    parameters = {
         isup.NATURE_OF_CONNECTION: isup.DEFAULT_NATURE_OF_CONNECTION,
         isup.FORWARD_INDICATORS: isup.DEFAULT_FORWARD_INDICATORS,
         isup.CALLING_CATEGORY: bytes((9 + width,)),
@@ -165,16 +181,18 @@
         isup.CALLED_NUMBER: isup.encode_called_number(called),
         isup.CALLING_NUMBER: isup.encode_calling_number(calling),
     }
-    if words:
-        given[isup.USER_TO_USER] = isup.encode_user_words(**words)
-    return IsupMessage(cic, isup.IAM, given)
+    if user_words:
+        parameters[isup.USER_TO_USER] = isup.encode_user_words(**user_words)
+    return IsupMessage(cic, isup.IAM, parameters)
 
 
+# Parameters of an ACM.
 ACM = {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}
 
 
-def rel(cic: int, cause: int, **words: int) -> IsupMessage:
-    given = {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}
-    if words:
-        given[isup.USER_TO_USER] = isup.encode_user_words(**words)
-    return IsupMessage(cic, isup.REL, given)
+def rel(cic: int, cause: int, **user_words: int) -> IsupMessage:
+    """Builds a REL; `user_words` go into the user-to-user information."""
+    parameters = {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}
+    if user_words:
+        parameters[isup.USER_TO_USER] = isup.encode_user_words(**user_words)
+    return IsupMessage(cic, isup.REL, parameters)
--- a/ospreybridge/lab/measure.py
+++ b/ospreybridge/lab/measure.py
@@ -1,6 +1,7 @@
-"""Measurements of one call server: processor time against a bare echo, rate, memory, the module's decisions.
+"""Measures one call server: processor time relative to an echo server, delay, memory and controller time.
 
-Ratios are taken in one run on one machine; absolute times tell of that machine only.
+Both sides of a ratio are measured in one run on one machine; absolute times hold for that machine only.
+Run as a process it is the answering exchanges: PORT EXCHANGES CREDENTIALS_DIR (empty for plain links).
 """
 
 from __future__ import annotations
@@ -19,8 +20,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ospreybridge import Controller
-from ospreybridge import interface as i
+from ospreybridge import Controller, interface
 from ospreybridge.keys import credentials
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.lab import harness
@@ -33,409 +33,451 @@
 from ospreybridge.standins.endpoint import Endpoint, Place
 from ospreybridge.standins.listservice import ListLink, TheList
 
-HOLD = 100.0  # ms between the answer and the caller's REL
-ACCESS = 1_900  # circuits of the callers' group: enough for two seconds of calls at 900 a second
-GROUP = 200
-CLOCK = 10**12  # µs after which the moment in a calling number starts again
-Say = Callable[[str], None]
-Phase = tuple[str, Callable[[bool], None]]  # name, and what switches it on and off
-TURN, SETTLE = 2_000.0, 300.0  # ms that a phase is measured, and before and after it
-PHASES = ("quiet", "elsewhere", "here")
+HOLD_MS = 100.0  # between the answer and the caller's REL
+ACCESS_CIRCUITS = 1_900  # of the callers' group: enough for two seconds of calls at 900 a second
+GROUP_CIRCUITS = 200  # of the trunk group to each exchange
+CLOCK_PERIOD_US = 10**12  # the send time in a calling number wraps to 0 after this
+Output = Callable[[str], None]
+Phase = tuple[str, Callable[[bool], None]]  # name, and a function that switches it on or off
+PHASE_MS, SETTLE_MS = 2_000.0, 300.0  # measured part of a phase, and the pause before and after it
+PHASE_NAMES = ("quiet", "elsewhere", "here")
 
 
-def keys_of(folder: Path) -> TlsContexts:
-    """A set for the call server and one for all stand-ins, whose contexts these are."""
-    if not (folder / "ca.key").exists():
-        authority = CertificateAuthority.create(folder, 2.0)
+def standin_tls_contexts(work_dir: Path) -> TlsContexts:
+    """Returns TLS contexts of the stand-ins; the first call issues the certificates of both sides."""
+    if not (work_dir / "ca.key").exists():
+        authority = CertificateAuthority.create(work_dir, 2.0)
         authority.issue("cs1", ["cs1.test"], days=1.0)
         authority.issue("standins", ["standins.test"], days=1.0)
-    return TlsContexts(credentials.load(standin_paths(folder), time.time()))
+    return TlsContexts(credentials.load(standin_credential_paths(work_dir), time.time()))
 
 
-def standin_paths(folder: Path) -> credentials.CredentialPaths:
-    return credentials.CredentialPaths(folder / "standins.crt", folder / "standins.key", folder / "ca.crt")
+def standin_credential_paths(work_dir: Path) -> credentials.CredentialPaths:
+    """Returns the credential files that all stand-ins share."""
+    return credentials.CredentialPaths(
+        work_dir / "standins.crt", work_dir / "standins.key", work_dir / "ca.crt"
+    )
 
 
-def settings_text(exchanges: int, secured: bool = False) -> str:
-    link = 'tls="standins.test"' if secured else "plain=true"
+def settings_text(exchanges: int, use_tls: bool = False) -> str:
+    """Returns the settings file of exchange 1 in a full mesh of `exchanges`."""
+    transport = 'tls="standins.test"' if use_tls else "plain=true"
     lines = ['exchange "cs1" number=1 point-code=1 listen="127.0.0.1:0" { prefix "37001"; }']
-    if secured:
+    if use_tls:
         lines.append(
             'tls certificate="cs1.crt" key="cs1.key" trust="ca.crt" name="cs1.test" listen="127.0.0.1:0" '
             "slots=512"
         )
     for n in range(2, exchanges + 1):
         lines.append(
-            f'peer "cs{n}" role="exchange" {link} point-code={n} context={100 + n} number={n} '
-            f'{{ circuits "1-{GROUP}"; prefix "37{n:03d}"; }}'
+            f'peer "cs{n}" role="exchange" {transport} point-code={n} context={100 + n} number={n} '
+            f'{{ circuits "1-{GROUP_CIRCUITS}"; prefix "37{n:03d}"; }}'
         )
-    given = f'point-code=2000 context=5 {{ circuits "1-{ACCESS}"; }}'
-    lines.append(f'peer "callers" role="callers" {link} {given}')
-    lines.append(f'peer "list" role="list" {link} point-code=16000 context=9')
+    properties = f'point-code=2000 context=5 {{ circuits "1-{ACCESS_CIRCUITS}"; }}'
+    lines.append(f'peer "callers" role="callers" {transport} {properties}')
+    lines.append(f'peer "list" role="list" {transport} point-code=16000 context=9')
     lines.append('class "lookup" on-time=2000 deadline=9000 hold=100')
     return "\n".join(lines) + "\n"
 
 
-class Answering(Endpoint):
-    """An exchange that answers each call at once. The calling number is the moment of its IAM, in µs."""
+class AnsweringExchange(Endpoint):
+    """An exchange that answers each call at once and records its delay.
+
+    The calling number is the time in µs at which the caller sent the IAM, modulo CLOCK_PERIOD_US.
+    """
 
-    delays: HdrHistogram
+    setup_delays: HdrHistogram
 
     def isup(self, message: IsupMessage) -> None:
         if message.type == isup.IAM:
-            due = int(isup.decode_calling_number(message.parameters[isup.CALLING_NUMBER]))
-            took = int(self.loop.clock() * 1e6) % CLOCK - due
-            self.delays.record_value(max(1, took))
+            sent_at_us = int(isup.decode_calling_number(message.parameters[isup.CALLING_NUMBER]))
+            elapsed_us = int(self.loop.clock() * 1e6) % CLOCK_PERIOD_US - sent_at_us
+            self.setup_delays.record_value(max(1, elapsed_us))
             self.send(IsupMessage(message.cic, isup.ACM, harness.ACM))
             self.send(IsupMessage(message.cic, isup.ANM))
         elif message.type == isup.REL:
             self.send(IsupMessage(message.cic, isup.RLC))
 
 
-def _in_turns(phases: list[Phase], far: subprocess.Popen[bytes]) -> Task:
-    """One phase after the other, round and round; the answering process is told of each change."""
+def _cycle_phases(phases: list[Phase], answering_process: subprocess.Popen[bytes]) -> Task:
+    """Cycles through the phases; a SIGUSR2 tells the answering process of each start and end."""
     while True:
         for _, switch in phases:
             switch(True)
-            yield "sleep", SETTLE
-            far.send_signal(signal.SIGUSR2)  # from here on its delays count as this phase's
-            yield "sleep", TURN
-            far.send_signal(signal.SIGUSR2)  # and from here on as nobody's
+            yield "sleep", SETTLE_MS
+            answering_process.send_signal(signal.SIGUSR2)  # from now on, delays are recorded for this phase
+            yield "sleep", PHASE_MS
+            answering_process.send_signal(signal.SIGUSR2)  # from now on, delays are recorded for no phase
             switch(False)
-            yield "sleep", SETTLE
+            yield "sleep", SETTLE_MS
 
 
-def answering(port: int, exchanges: int, keys: str) -> None:
-    """A process of its own, so that the callers' work does not stand in the way of the measured delay."""
-    loop, delays = EventLoop(), HdrHistogram(1, 60_000_000, 3)
-    contexts = keys_of(Path(keys)) if keys else None
+def run_answering_exchanges(port: int, exchanges: int, credentials_dir: str) -> None:
+    """Runs all exchanges but the first until SIGTERM, then prints the delays as JSON.
+
+    It is a separate process so that the callers' work does not add to the measured delay. SIGUSR1 discards
+    the delays recorded so far; SIGUSR2 starts or ends a phase.
+    """
+    loop, setup_delays = EventLoop(), HdrHistogram(1, 60_000_000, 3)
+    contexts = standin_tls_contexts(Path(credentials_dir)) if credentials_dir else None
 
     def stop() -> None:
         loop.running = False
 
-    # Phases: in turn nobody's and theirs.
-    places = [HdrHistogram(1, 60_000_000, 3) for _ in range(2 * len(PHASES))]
-    turn = 0
+    # Even indexes: between phases; odd indexes: the phases in order.
+    histograms = [HdrHistogram(1, 60_000_000, 3) for _ in range(2 * len(PHASE_NAMES))]
+    current = 0
 
-    def change() -> None:
-        nonlocal turn
-        turn = (turn + 1) % len(places)
-        for end in ends:
-            end.delays = places[turn]
+    def next_histogram() -> None:
+        nonlocal current
+        current = (current + 1) % len(histograms)
+        for endpoint in endpoints:
+            endpoint.setup_delays = histograms[current]
 
-    loop.on_signals({signal.SIGTERM: stop, signal.SIGUSR1: delays.reset, signal.SIGUSR2: change})
-    ends = []
+    loop.on_signals(
+        {signal.SIGTERM: stop, signal.SIGUSR1: setup_delays.reset, signal.SIGUSR2: next_histogram}
+    )
+    endpoints = []
     for n in range(2, exchanges + 1):
         server = Peer("cs1", "exchange", 1, 100 + n, 1, dial_address=("", 0), tls_name="cs1.test")
-        ends.append(Answering(Place(loop, n, server, lambda: ("127.0.0.1", port), contexts)))
-        ends[-1].delays = delays
-    steady()
+        endpoints.append(AnsweringExchange(Place(loop, n, server, lambda: ("127.0.0.1", port), contexts)))
+        endpoints[-1].setup_delays = setup_delays
+    limit_gc_pauses()
     loop.run()
-    phases = {name: _told(places[1 + 2 * n]) for n, name in enumerate(PHASES)}
-    print(json.dumps(_told(delays) | {"phases": phases}))
+    phases = {name: _summarize(histograms[1 + 2 * n]) for n, name in enumerate(PHASE_NAMES)}
+    print(json.dumps(_summarize(setup_delays) | {"phases": phases}))
 
 
-def _told(delays: HdrHistogram) -> dict[str, float]:
-    found = {f"p{p}_ms": delays.get_value_at_percentile(p) / 1_000 for p in (50, 99, 99.9)}
-    return found | {"within_5_ms": _share_within(delays, 5_000), "calls": delays.get_total_count()}
+def _summarize(setup_delays: HdrHistogram) -> dict[str, float]:
+    summary = {f"p{p}_ms": setup_delays.get_value_at_percentile(p) / 1_000 for p in (50, 99, 99.9)}
+    return summary | {
+        "within_5_ms": _share_within(setup_delays, 5_000),
+        "calls": setup_delays.get_total_count(),
+    }
 
 
-class Dialler(Endpoint):
-    """Callers whose calls come at set moments; each circuit is used in turn."""
+class PacedCallers(Endpoint):
+    """Callers that start calls at scheduled times; the circuit that was free longest is used next."""
 
-    def begin(self, exchanges: int) -> None:
+    def prepare(self, exchanges: int) -> None:
+        """Resets the counts; calls go to the other exchanges of the mesh in turn."""
         self.exchanges = exchanges
-        self.lag = HdrHistogram(1, 60_000_000, 3)  # µs by which the callers themselves were late
-        self.free = list(reversed(parse_cic_ranges([f"1-{ACCESS}"])))
-        self.made = self.done = self.refused = 0
-
-    def dial(self, due: float) -> None:
-        cic = self.free.pop()
-        dest = 2 + self.made % (self.exchanges - 1)
-        self.made += 1
-        self.lag.record_value(max(1, int((self.loop.clock() * 1e3 - due) * 1e3)))
-        calling = f"{int(self.loop.clock() * 1e6) % CLOCK:012d}"
-        self.send(harness.iam(cic, f"37{dest:03d}{self.made % 10_000:04d}", calling, left=9_000))
+        self.lateness_us = HdrHistogram(1, 60_000_000, 3)  # how late the callers themselves sent their IAMs
+        self.free_circuits = list(reversed(parse_cic_ranges([f"1-{ACCESS_CIRCUITS}"])))
+        self.started = self.ended = self.refused = 0
+
+    def dial(self, due_at: float) -> None:
+        """Starts a call that was scheduled for `due_at`, in ms."""
+        cic = self.free_circuits.pop()
+        destination = 2 + self.started % (self.exchanges - 1)
+        self.started += 1
+        self.lateness_us.record_value(max(1, int((self.loop.clock() * 1e3 - due_at) * 1e3)))
+        calling = f"{int(self.loop.clock() * 1e6) % CLOCK_PERIOD_US:012d}"
+        self.send(harness.iam(cic, f"37{destination:03d}{self.started % 10_000:04d}", calling, left=9_000))
 
     def isup(self, message: IsupMessage) -> None:
         if message.type == isup.ACM:
-            self.loop.timers.schedule(self.loop.now + HOLD, self._hang_up, message.cic)
+            self.loop.timers.schedule(self.loop.now + HOLD_MS, self._hang_up, message.cic)
         elif message.type == isup.REL:
             self.refused += 1
             self.send(IsupMessage(message.cic, isup.RLC))
-            self._end(message.cic)
+            self._end_call(message.cic)
         elif message.type == isup.RLC:
-            self._end(message.cic)
+            self._end_call(message.cic)
 
     def _hang_up(self, now: float, cic: int) -> None:
         self.send(harness.rel(cic, 16))
 
-    def _end(self, cic: int) -> None:
-        self.done += 1
-        self.free.insert(0, cic)
+    def _end_call(self, cic: int) -> None:
+        self.ended += 1
+        self.free_circuits.insert(0, cic)
 
 
-def steady() -> None:
-    """The measuring processes' own collections must not be read as the call server's delay."""
+def limit_gc_pauses() -> None:
+    """Keeps this process's garbage collection from adding to the measured delay of the call server."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(100_000, 50, 1_000)
 
 
-def spent_by(pid: int) -> float:
-    """Processor seconds of a process, user and system."""
+def cpu_seconds(pid: int) -> float:
+    """Returns the processor seconds that a process has used, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def child(command: list[str], folder: Path) -> tuple[subprocess.Popen[bytes], int]:
-    port_file = folder / f"port{len(list(folder.iterdir()))}"
-    with (folder / "log").open("ab") as log:
+def start_process(command: list[str], work_dir: Path) -> tuple[subprocess.Popen[bytes], int]:
+    """Starts a Python module that writes its port to a file; returns the process and the port.
+
+    The path of the port file is appended to `command`.
+    """
+    port_file = work_dir / f"port{len(list(work_dir.iterdir()))}"
+    with (work_dir / "log").open("ab") as log:
         process = subprocess.Popen([sys.executable, "-m", *command, str(port_file)], stdout=log, stderr=log)
-    end = time.monotonic() + 20
+    give_up_at = time.monotonic() + 20
     while not (port_file.exists() and port_file.read_text().strip()):
-        if time.monotonic() > end or process.poll() is not None:
-            raise RuntimeError(f"{command[0]} did not start: {(folder / 'log').read_text()[-500:]}")
+        if time.monotonic() > give_up_at or process.poll() is not None:
+            raise RuntimeError(f"{command[0]} did not start: {(work_dir / 'log').read_text()[-500:]}")
         time.sleep(0.02)
     return process, int(port_file.read_text())
 
 
-def _paced(loop: EventLoop, rate: float, calls: int, make: Callable[[float], None]) -> Task:
-    due = loop.now
-    for _ in range(calls):
-        due += 1_000.0 / rate
-        if due > loop.now:
-            yield "sleep", due - loop.now
-        make(due)
+def _start_calls(loop: EventLoop, rate: float, count: int, start_call: Callable[[float], None]) -> Task:
+    """Starts `count` calls at `rate` per second; each is passed the time it was due, in ms."""
+    due_at = loop.now
+    for _ in range(count):
+        due_at += 1_000.0 / rate
+        if due_at > loop.now:
+            yield "sleep", due_at - loop.now
+        start_call(due_at)
 
 
-def calls(
+def measure_calls(
     exchanges: int,
     rate: float,
     count: int,
-    folder: Path,
-    secured: bool = False,
-    meanwhile: Callable[[int], list[Phase]] | None = None,
+    work_dir: Path,
+    use_tls: bool = False,
+    start_phases: Callable[[int], list[Phase]] | None = None,
 ) -> dict[str, Any]:
-    """Complete calls through one call server: processor ms a call, and the delay from intended IAM to ACM.
+    """Makes complete calls through one call server.
 
-    `meanwhile`, given the port, tells phases that take turns while the calls are made; each is switched on
-    and off, and the delays of each are told apart.
+    Measures its processor time per call and the delay from the caller's IAM to the IAM at the far exchange.
+    `start_phases` gets the call server's port and returns phases that alternate during the calls; the delays
+    are also reported for each phase.
     """
-    file = folder / f"measure{exchanges}.kdl"
-    file.write_text(settings_text(exchanges, secured))
-    contexts = keys_of(folder) if secured else None
-    process, port = child(["ospreybridge", "serve", str(file), "--port-file"], folder)
+    settings_file = work_dir / f"measure{exchanges}.kdl"
+    settings_file.write_text(settings_text(exchanges, use_tls))
+    contexts = standin_tls_contexts(work_dir) if use_tls else None
+    process, port = start_process(["ospreybridge", "serve", str(settings_file), "--port-file"], work_dir)
     try:
         loop = EventLoop()
 
-        def place(code: int, context: int) -> Place:
-            server = Peer("cs1", "exchange", 1, context, 1, dial_address=("", 0), tls_name="cs1.test")
-            return Place(loop, code, server, lambda: ("127.0.0.1", port), contexts)
-
-        far = subprocess.Popen(
-            [sys.executable, "-m", __spec__.name, str(port), str(exchanges), str(folder) if secured else ""],
+        def endpoint_config(point_code: int, routing_context: int) -> Place:
+            server = Peer("cs1", "exchange", 1, routing_context, 1, dial_address=("", 0), tls_name="cs1.test")
+            return Place(loop, point_code, server, lambda: ("127.0.0.1", port), contexts)
+
+        answering_process = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                __spec__.name,
+                str(port),
+                str(exchanges),
+                str(work_dir) if use_tls else "",
+            ],
             stdout=subprocess.PIPE,
         )
-        callers = Dialler(place(2_000, 5))
-        listed = TheList(loop, list(range(1, exchanges + 1)), (0.0, 1.0), 1)
-        ends: list[Endpoint] = [callers, ListLink(place(16_000, 9), listed)]
-        callers.begin(exchanges)
-        if not loop.run_until(lambda: all(end.up for end in ends), 20_000):
+        callers = PacedCallers(endpoint_config(2_000, 5))
+        list_service = TheList(loop, list(range(1, exchanges + 1)), (0.0, 1.0), 1)
+        endpoints: list[Endpoint] = [callers, ListLink(endpoint_config(16_000, 9), list_service)]
+        callers.prepare(exchanges)
+        if not loop.run_until(lambda: all(endpoint.up for endpoint in endpoints), 20_000):
             raise RuntimeError("the call server's associations did not come up")
-        loop.run_until(lambda: False, 2_500)  # the far process starts, circuits are reset
-        loop.spawn(_paced(loop, rate, count // 10, callers.dial))  # warm-up, not counted
-        loop.run_until(lambda: callers.done == count // 10, 30_000)
-        phases = meanwhile(port) if meanwhile is not None else []
-        loop.run_until(lambda: False, 500.0)  # what stood still meanwhile is no delay of the call server
-        far.send_signal(signal.SIGUSR1)
+        loop.run_until(lambda: False, 2_500)  # the answering process starts, circuits are reset
+        loop.spawn(_start_calls(loop, rate, count // 10, callers.dial))  # warm-up, not counted
+        loop.run_until(lambda: callers.ended == count // 10, 30_000)
+        phases = start_phases(port) if start_phases is not None else []
+        loop.run_until(lambda: False, 500.0)  # drains the backlog if starting the phases blocked this process
+        answering_process.send_signal(signal.SIGUSR1)
         if phases:
-            loop.spawn(_in_turns(phases, far))
-        before, begun = spent_by(process.pid), time.monotonic()
-        loop.spawn(_paced(loop, rate, count, callers.dial))
-        if not loop.run_until(lambda: callers.done == count // 10 + count, 10_000 + 3_000 * count / rate):
-            raise RuntimeError(f"{callers.made - callers.done} calls did not end")
-        seconds = time.monotonic() - begun
-        spent = spent_by(process.pid) - before
-        far.terminate()
-        told: dict[str, Any] = json.loads(far.communicate(timeout=10)[0])
-        return told | {
+            loop.spawn(_cycle_phases(phases, answering_process))
+        cpu_before, started = cpu_seconds(process.pid), time.monotonic()
+        loop.spawn(_start_calls(loop, rate, count, callers.dial))
+        if not loop.run_until(lambda: callers.ended == count // 10 + count, 10_000 + 3_000 * count / rate):
+            raise RuntimeError(f"{callers.started - callers.ended} calls did not end")
+        seconds = time.monotonic() - started
+        cpu_s = cpu_seconds(process.pid) - cpu_before
+        answering_process.terminate()
+        summary: dict[str, Any] = json.loads(answering_process.communicate(timeout=10)[0])
+        return summary | {
             "exchanges": exchanges,
             "rate": round(count / seconds, 1),
             "calls": count,
             "refused": callers.refused,
-            "callers_late_p99_ms": callers.lag.get_value_at_percentile(99) / 1_000,
-            "ms_a_call": 1_000 * spent / count,
-            "busy": spent / seconds,
+            "callers_late_p99_ms": callers.lateness_us.get_value_at_percentile(99) / 1_000,
+            "ms_a_call": 1_000 * cpu_s / count,
+            "busy": cpu_s / seconds,
         }
     finally:
         process.kill()
         process.wait()
 
 
-def _share_within(delays: HdrHistogram, limit: int) -> float:
-    total = delays.get_total_count()
-    below = sum(
+def _share_within(setup_delays: HdrHistogram, limit_us: int) -> float:
+    total = setup_delays.get_total_count()
+    within_limit = sum(
         item.count_added_in_this_iter_step
-        for item in delays.get_recorded_iterator()
-        if item.value_iterated_to <= limit
+        for item in setup_delays.get_recorded_iterator()
+        if item.value_iterated_to <= limit_us
     )
-    return float(below / total) if total else 0.0
+    return float(within_limit / total) if total else 0.0
 
 
-def echo(exchanges: int, rate: float, count: int, folder: Path) -> dict[str, Any]:
-    """The same frames in the same order and pace over as many connections, echoed and nothing else."""
-    process, port = child(["ospreybridge.lab.echo"], folder)
+def measure_echo(exchanges: int, rate: float, count: int, work_dir: Path) -> dict[str, Any]:
+    """Sends the frames of such calls, at the same rate and over as many connections, to the echo server."""
+    process, port = start_process(["ospreybridge.lab.echo"], work_dir)
     try:
         loop = EventLoop()
-        done = 0
+        ended = 0
         streams: list[tcp.Stream] = []
 
-        def frame(message: IsupMessage) -> bytes:
+        def encode_frame(message: IsupMessage) -> bytes:
             return m3ua.encode_data(m3ua.Data(2_000, 1, 5, 2, 0, message.cic & 15, isup.encode(message), 5))
 
-        def reader(index: int) -> Task:
-            nonlocal done
+        def run_connection(index: int) -> Task:
+            nonlocal ended
             sock = yield from tcp.connect(loop, ("127.0.0.1", port), 2_000)
             stream = tcp.Stream(loop, sock, 1 << 24)
             streams.append(stream)
             splitter = m3ua.Splitter()
             while data := (yield from stream.read()):
-                for raw in splitter.feed(data):
-                    data_message = m3ua.decode(raw)
+                for frame in splitter.feed(data):
+                    data_message = m3ua.decode(frame)
                     assert isinstance(data_message, m3ua.Data)
                     message = isup.decode(data_message.body)
-                    far = streams[1 + message.cic % (exchanges - 1)]
+                    reply_stream = streams[1 + message.cic % (exchanges - 1)]
                     if message.type == isup.IAM:
-                        far.write(frame(IsupMessage(message.cic, isup.ACM, harness.ACM)))
-                        far.write(frame(IsupMessage(message.cic, isup.ANM)))
+                        reply_stream.write(encode_frame(IsupMessage(message.cic, isup.ACM, harness.ACM)))
+                        reply_stream.write(encode_frame(IsupMessage(message.cic, isup.ANM)))
                     elif message.type == isup.ANM:
-                        loop.timers.schedule(loop.now + HOLD, release, message.cic)
+                        loop.timers.schedule(loop.now + HOLD_MS, release, message.cic)
                     elif message.type == isup.REL:
-                        far.write(frame(IsupMessage(message.cic, isup.RLC)))
+                        reply_stream.write(encode_frame(IsupMessage(message.cic, isup.RLC)))
                     elif message.type == isup.RLC:
-                        done += 1
+                        ended += 1
 
         def release(now: float, cic: int) -> None:
-            streams[0].write(frame(harness.rel(cic, 16)))
+            streams[0].write(encode_frame(harness.rel(cic, 16)))
 
-        made = 0
+        started = 0
 
-        def make(due: float) -> None:
-            nonlocal made
-            made += 1
-            called = f"37{2 + made % (exchanges - 1):03d}{made % 10_000:04d}"
-            streams[0].write(frame(harness.iam(1 + made % 4_000, called, f"50{made:08d}", left=9_000)))
+        def start_call(due_at: float) -> None:
+            nonlocal started
+            started += 1
+            called = f"37{2 + started % (exchanges - 1):03d}{started % 10_000:04d}"
+            streams[0].write(
+                encode_frame(harness.iam(1 + started % 4_000, called, f"50{started:08d}", left=9_000))
+            )
 
         for index in range(exchanges + 1):
-            loop.spawn(reader(index))
+            loop.spawn(run_connection(index))
         loop.run_until(lambda: len(streams) == exchanges + 1, 10_000)
-        loop.spawn(_paced(loop, rate, count // 10, make))
-        loop.run_until(lambda: done == count // 10, 30_000)
-        before = spent_by(process.pid)
-        loop.spawn(_paced(loop, rate, count, make))
-        if not loop.run_until(lambda: done == count // 10 + count, 10_000 + 3_000 * count / rate):
+        loop.spawn(_start_calls(loop, rate, count // 10, start_call))
+        loop.run_until(lambda: ended == count // 10, 30_000)
+        cpu_before = cpu_seconds(process.pid)
+        loop.spawn(_start_calls(loop, rate, count, start_call))
+        if not loop.run_until(lambda: ended == count // 10 + count, 10_000 + 3_000 * count / rate):
             raise RuntimeError("the echo lost frames")
-        return {"ms_a_call": 1_000 * (spent_by(process.pid) - before) / count}
+        return {"ms_a_call": 1_000 * (cpu_seconds(process.pid) - cpu_before) / count}
     finally:
         process.kill()
         process.wait()
 
 
-def path(say: Say, rate: float, count: int) -> dict[str, Any]:
-    """A whole call over a bare echo of its bytes, at the users' 26 and 62 exchanges."""
-    found: dict[str, Any] = {}
-    steady()
-    with tempfile.TemporaryDirectory() as name:
+def measure_path(output: Output, rate: float, count: int) -> dict[str, Any]:
+    """Compares a whole call with an echo of its bytes, at 26 and 62 exchanges as in the users' fleets."""
+    results: dict[str, Any] = {}
+    limit_gc_pauses()
+    with tempfile.TemporaryDirectory() as directory:
         for exchanges in (26, 62):
-            bare = echo(exchanges, rate, count, Path(name))
-            whole = calls(exchanges, rate, count, Path(name))
-            ratio = whole["ms_a_call"] / max(bare["ms_a_call"], 1e-9)
-            say(
-                f"{exchanges} exchanges, {whole['rate']:.0f} calls/s: {whole['ms_a_call']:.3f} ms a call, "
-                f"echo {bare['ms_a_call']:.3f} ms, ratio {ratio:.2f}; processor {whole['busy']:.0%} busy; "
-                f"IAM in to IAM out p50 {whole['p50_ms']:.2f} ms, p99 {whole['p99_ms']:.2f} ms, "
-                f"{whole['within_5_ms']:.2%} within 5 ms "
-                f"(callers late p99 {whole['callers_late_p99_ms']:.2f} ms); refused {whole['refused']}"
+            echo_result = measure_echo(exchanges, rate, count, Path(directory))
+            call_result = measure_calls(exchanges, rate, count, Path(directory))
+            ratio = call_result["ms_a_call"] / max(echo_result["ms_a_call"], 1e-9)
+            output(
+                f"{exchanges} exchanges, {call_result['rate']:.0f} calls/s: "
+                f"{call_result['ms_a_call']:.3f} ms a call, "
+                f"echo {echo_result['ms_a_call']:.3f} ms, ratio {ratio:.2f}; "
+                f"processor {call_result['busy']:.0%} busy; "
+                f"IAM in to IAM out p50 {call_result['p50_ms']:.2f} ms, p99 {call_result['p99_ms']:.2f} ms, "
+                f"{call_result['within_5_ms']:.2%} within 5 ms "
+                f"(callers late p99 {call_result['callers_late_p99_ms']:.2f} ms); "
+                f"refused {call_result['refused']}"
             )
-            found[str(exchanges)] = whole | {"echo_ms_a_call": bare["ms_a_call"], "ratio": ratio}
-    return found
+            results[str(exchanges)] = call_result | {
+                "echo_ms_a_call": echo_result["ms_a_call"],
+                "ratio": ratio,
+            }
+    return results
 
 
-def memory(say: Say, count: int) -> dict[str, Any]:
-    """Resident memory a standing call, in a call server without sockets."""
+def measure_memory(output: Output, count: int) -> dict[str, Any]:
+    """Measures the resident memory of an established call, in a call server without sockets."""
     exchanges = 62
-    needed = count // (exchanges - 1) * 34 // 31 + 64
-    h = harness.Harness(harness.server(exchanges, circuits=needed, access=count * 33 // 31 + 64))
-    h.up()
-    h.ready()
-    h.keep = False
-    out: list[tuple[int, IsupMessage]] = []
-    h.watch = lambda code, message: out.append((code, message))
-    groups = [(peer.point_code, peer.cics) for peer in h.core.settings.peers if peer.role == "callers"]
+    circuits = count // (exchanges - 1) * 34 // 31 + 64
+    bench = harness.Harness(harness.server(exchanges, circuits=circuits, access=count * 33 // 31 + 64))
+    bench.up()
+    bench.ready()
+    bench.keep = False
+    sent: list[tuple[int, IsupMessage]] = []
+    bench.watch = lambda code, message: sent.append((code, message))
+    groups = [(peer.point_code, peer.cics) for peer in bench.core.settings.peers if peer.role == "callers"]
     access = [(code, cic) for code, cics in groups for cic in cics][:count]
     gc.collect()
-    before = _resident()
+    bytes_before = _resident_bytes()
     for serial, (code, cic) in enumerate(access):
-        h.advance(0.1)
-        out.clear()
+        bench.advance(0.1)
+        sent.clear()
         called = f"37{2 + serial % (exchanges - 1):03d}{serial % 10_000:04d}"
-        h.give(code, harness.iam(cic, called, f"50{serial:08d}"))
-        to = [(far, m) for far, m in out if m.type == isup.IAM]
-        for far, message in to:
-            h.give(far, IsupMessage(message.cic, isup.ACM, harness.ACM))
-            h.give(far, IsupMessage(message.cic, isup.ANM))
-    h.advance(10_000)  # timers of the set-ups are gone
+        bench.give(code, harness.iam(cic, called, f"50{serial:08d}"))
+        setups = [(far, m) for far, m in sent if m.type == isup.IAM]
+        for far, message in setups:
+            bench.give(far, IsupMessage(message.cic, isup.ACM, harness.ACM))
+            bench.give(far, IsupMessage(message.cic, isup.ANM))
+    bench.advance(10_000)  # lets the timers of the set-ups run out
     gc.collect()
-    standing = len(h.core.calls)
-    each = (_resident() - before) / max(1, standing)
-    say(f"{standing} standing calls: {each / 1_000:.2f} kB a call")
-    return {"standing": standing, "bytes_a_call": each}
+    established = len(bench.core.calls)
+    bytes_per_call = (_resident_bytes() - bytes_before) / max(1, established)
+    output(f"{established} standing calls: {bytes_per_call / 1_000:.2f} kB a call")
+    return {"standing": established, "bytes_a_call": bytes_per_call}
 
 
-def _resident() -> int:
+def _resident_bytes() -> int:
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def module(say: Say) -> dict[str, Any]:
-    """Processor ms of the module for one call, at 62 exchanges and growing rates."""
-    found = {}
+def measure_controller(output: Output) -> dict[str, Any]:
+    """Measures the controller's processor time per call, at 62 exchanges and increasing rates."""
+    results = {}
     for rate in (25, 500, 2_000):
-        rules = i.Rules(
+        rules = interface.Rules(
             release=200.0, warm_after=14_000.0, overload_for=1_500.0, overload_factor=2.5, cold_share=0.3
         )
-        kind = i.CallClass(on_time=2_000.0, deadline=9_000.0, hold=10_000.0)
+        call_class = interface.CallClass(on_time=2_000.0, deadline=9_000.0, hold=10_000.0)
         controller = Controller(
-            i.Settings(
-                classes=(kind,),
+            interface.Settings(
+                classes=(call_class,),
                 own_exchange=0,
                 server_count=62,
                 tick=5.0,
                 rules=rules,
-                limits=i.Limits(cancel=True, max_tries=4),
+                limits=interface.Limits(cancel=True, max_tries=4),
             ),
             1,
         )
-        entries = tuple(i.Entry(100 + n, n) for n in range(1, 62))
-        controller.handle(0.0, i.Members(i.ListForm.FULL, 1, entries))
-        full = i.Report(free=500.0, size=500.0)
+        entries = tuple(interface.Entry(100 + n, n) for n in range(1, 62))
+        controller.handle(0.0, interface.Members(interface.ListForm.FULL, 1, entries))
+        report = interface.Report(free=500.0, size=500.0)
         for entry in entries:
-            controller.handle(0.0, i.Probed(entry.office, i.Result.OK, 0.0, full))
-        count, now, begun = rate * 12 + 4_000, 1_000.0, 0.0
+            controller.handle(0.0, interface.Probed(entry.office, interface.Result.OK, 0.0, report))
+        count, now, cpu_before = rate * 12 + 4_000, 1_000.0, 0.0
         for ref in range(count):
             if ref == count - 1_500:
-                begun, first = time.process_time(), ref
+                cpu_before, first_measured = time.process_time(), ref
             now += 1_000.0 / rate
-            for action in controller.handle(now, i.Request(ref, 0, 1 + ref % 61, now + 9_000.0)):
-                if isinstance(action, i.Send):
-                    controller.handle(now, i.Established(ref, 0, action.office, 5.0))
+            for action in controller.handle(now, interface.Request(ref, 0, 1 + ref % 61, now + 9_000.0)):
+                if isinstance(action, interface.Send):
+                    controller.handle(now, interface.Established(ref, 0, action.office, 5.0))
                     controller.handle(
-                        now, i.Outcome(ref, 0, action.office, i.Result.OK, 5.0, True, report=full)
+                        now,
+                        interface.Outcome(
+                            ref, 0, action.office, interface.Result.OK, 5.0, True, report=report
+                        ),
                     )
-        found[str(rate)] = 1_000 * (time.process_time() - begun) / (count - first)
-        say(f"{rate:>5} calls/s: {found[str(rate)]:.3f} ms a call in the module")
-    return found
+        results[str(rate)] = 1_000 * (time.process_time() - cpu_before) / (count - first_measured)
+        output(f"{rate:>5} calls/s: {results[str(rate)]:.3f} ms a call in the module")
+    return results
 
 
 if __name__ == "__main__":
-    answering(int(sys.argv[1]), int(sys.argv[2]), sys.argv[3])
+    run_answering_exchanges(int(sys.argv[1]), int(sys.argv[2]), sys.argv[3])
--- a/ospreybridge/standins/__init__.py
+++ b/ospreybridge/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what surrounds a call server: offices, callers, the list service and the centre.
+"""Stand-ins: simulated offices, callers, list service and traffic centre around a call server.
 
-They speak M3UA and ISUP as any peer would and share no state with a call server; only the codecs and the
-association's state machine are the same code.
+They speak M3UA and ISUP as any peer would and share no state with a call server. They use the same codecs and
+the same association state machine, and no other code of the call server.
 """
--- a/ospreybridge/standins/callers.py
+++ b/ospreybridge/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers: open-loop arrivals, patience, redials, hang-ups; masses of cut calls that come back."""
+"""Simulated callers of one exchange: patience, redials, hang-ups, and mass cuts whose callers dial again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.endpoint import Endpoint, Place
 
-FORWARD = {
+# Parameters that are the same in every IAM of a stand-in.
+FORWARD_PARAMETERS = {
     isup.NATURE_OF_CONNECTION: isup.DEFAULT_NATURE_OF_CONNECTION,
     isup.FORWARD_INDICATORS: isup.DEFAULT_FORWARD_INDICATORS,
 }
@@ -21,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A class of calls as callers make them; times in ms, `share` of all calls."""
+    """A kind of call that callers make. Times in ms; `share` is relative to the other kinds.
+
+    `category` is the calling party's category, `width` the number of circuits, `hold` the mean holding time.
+    """
 
     name: str
     share: float
@@ -34,185 +38,207 @@
 
 @dataclass(frozen=True, slots=True)
 class Habits:
-    patience: float = 3_300.0  # one try; the class's deadline bounds all
+    """How long callers wait and how often they dial again. Times in ms."""
+
+    patience: float = 3_300.0  # per try; the deadline of the class limits all tries together
     redials: int = 2
-    redial_after: float = 800.0
-    heeds: float = 0.7  # share of callers who come back when a refusal says, not before
+    redial_after: float = 800.0  # mean wait before a redial
+    heeds: float = 0.7  # share of callers who wait for the retry time that a refusal gives
 
 
-class Wish:
-    """One caller's wish to speak: its first try and what became of it."""
+class CallIntent:
+    """One call that a caller wants to make, over all its tries (call intent of ITU-T E.600)."""
 
-    __slots__ = ("called", "calling", "cic", "first", "kind", "stood", "tries", "was_cut")
+    __slots__ = ("called", "calling", "cic", "first_try_at", "kind", "stood", "tries", "was_cut")
 
-    def __init__(self, kind: Kind, calling: str, called: str, first: float) -> None:
-        self.kind, self.calling, self.called, self.first = kind, calling, called, first
+    def __init__(self, kind: Kind, calling: str, called: str, first_try_at: float) -> None:
+        self.kind, self.calling, self.called, self.first_try_at = kind, calling, called, first_try_at
         self.tries, self.cic = 0, 0
         self.stood = self.was_cut = False
 
 
 class Callers(Endpoint):
-    """All callers of one exchange, on one access group. `tally` counts first tries by how they ended."""
+    """All callers of one exchange, on one access trunk group.
+
+    `tally` counts call intents, tries and their outcomes. `setup_delays` records microseconds from the IAM of
+    the try to its answer.
+    """
 
     def __init__(
         self,
-        place: Place,
+        config: Place,
         habits: Habits,
         seed: int,
         tally: Counter[str],
-        delays: HdrHistogram,
+        setup_delays: HdrHistogram,
     ) -> None:
-        self.habits, self.random, self.tally, self.delays = habits, np.random.default_rng(seed), tally, delays
-        self.group = TrunkGroup("access", place.server.cics, place.point_code, place.server.point_code, set())
-        self.on: dict[int, Wish] = {}
-        self.before: dict[int, float] = {}  # circuit: when its try began
-        self.pairs: dict[int, tuple[int, ...]] = {}  # circuits of wide calls, by the lowest
-        self.quiet = False  # the day is over: no redials
-        super().__init__(place)
-
-    def started(self) -> None:
+        self.habits, self.random, self.tally, self.setup_delays = (
+            habits,
+            np.random.default_rng(seed),
+            tally,
+            setup_delays,
+        )
+        self.group = TrunkGroup(
+            "access", config.call_server.cics, config.point_code, config.call_server.point_code, set()
+        )
+        self.on: dict[int, CallIntent] = {}
+        self.tried_at: dict[int, float] = {}  # start of the current try, by circuit
+        self.wide_call_circuits: dict[int, tuple[int, ...]] = {}  # all circuits of a wide call, by its first
+        self.quiet = False  # set at the end of a scripted day
+        super().__init__(config)
+
+    def on_active(self) -> None:
         for circuit in self.group.circuits.values():
             self.group.set_state(circuit, CircuitState.IDLE)
             self.group.set_blocked(circuit, remote=False)
 
-    def lost(self, reason: str) -> None:
+    def on_inactive(self, reason: str) -> None:
         for circuit in self.group.circuits.values():
             self.group.set_state(circuit, CircuitState.DOWN)
-        wishes, self.on = list(self.on.values()), {}
-        for wish in wishes:
-            if wish.stood:
-                self._cut(wish)
+        intents, self.on = list(self.on.values()), {}
+        for intent in intents:
+            if intent.stood:
+                self._count_cut(intent)
             else:
-                self._again(wish, 0.0)
+                self._redial(intent, 0.0)
 
-    # -- a wish
+    # -- calls
 
     def wish(self, kind: Kind, calling: str, called: str) -> None:
+        """Starts a new call intent with its first try."""
         self.tally["offered"] += 1
-        self._try(self.loop.now, Wish(kind, calling, called, self.loop.now))
+        self._try(self.loop.now, CallIntent(kind, calling, called, self.loop.now))
 
-    def _try(self, now: float, wish: Wish) -> None:
-        cics = self.group.select(wish.kind.width) if self.up else ()
-        wish.tries += 1
+    def _try(self, now: float, intent: CallIntent) -> None:
+        cics = self.group.select(intent.kind.width) if self.up else ()
+        intent.tries += 1
         if not cics:
-            self._again(wish, 0.0)
+            self._redial(intent, 0.0)
             return
         for cic in cics:
             self.group.set_state(self.group.circuits[cic], CircuitState.SEIZED)
         self.tally["tries"] += 1
-        wish.cic = cics[0]
+        intent.cic = cics[0]
         if len(cics) > 1:
-            self.pairs[wish.cic] = cics
+            self.wide_call_circuits[intent.cic] = cics
         else:
-            self.pairs.pop(wish.cic, None)
-        self.on[wish.cic] = wish
-        self.before[wish.cic] = now
-        left = min(self.habits.patience, wish.first + wish.kind.deadline - now)
-        words = {"left": max(1, int(left))}
-        if wish.was_cut:
-            words["cut"] = 1
-        required = isup.TWO_TIMES_64 if wish.kind.width == 2 else isup.SPEECH
-        given = {
-            **FORWARD,
-            isup.CALLING_CATEGORY: bytes((wish.kind.category,)),
-            isup.MEDIUM_REQUIREMENT: bytes((required,)),
-            isup.CALLED_NUMBER: isup.encode_called_number(wish.called),
-            isup.CALLING_NUMBER: isup.encode_calling_number(wish.calling),
-            isup.USER_TO_USER: isup.encode_user_words(**words),
+            self.wide_call_circuits.pop(intent.cic, None)
+        self.on[intent.cic] = intent
+        self.tried_at[intent.cic] = now
+        remaining = min(self.habits.patience, intent.first_try_at + intent.kind.deadline - now)
+        user_words = {"left": max(1, int(remaining))}
+        if intent.was_cut:
+            user_words["cut"] = 1
+        medium = isup.TWO_TIMES_64 if intent.kind.width == 2 else isup.SPEECH
+        parameters = {
+            **FORWARD_PARAMETERS,
+            isup.CALLING_CATEGORY: bytes((intent.kind.category,)),
+            isup.MEDIUM_REQUIREMENT: bytes((medium,)),
+            isup.CALLED_NUMBER: isup.encode_called_number(intent.called),
+            isup.CALLING_NUMBER: isup.encode_calling_number(intent.calling),
+            isup.USER_TO_USER: isup.encode_user_words(**user_words),
         }
         if len(cics) == 2 and cics[1] != cics[0] + 1:
-            given[isup.CIRCUIT_ASSIGNMENT_MAP] = isup.encode_circuit_map(cics)
-        self.send(IsupMessage(wish.cic, isup.IAM, given))
-        self.loop.timers.schedule(now + left, self._impatient, wish, wish.tries)
+            parameters[isup.CIRCUIT_ASSIGNMENT_MAP] = isup.encode_circuit_map(cics)
+        self.send(IsupMessage(intent.cic, isup.IAM, parameters))
+        self.loop.timers.schedule(now + remaining, self._on_patience_end, intent, intent.tries)
 
-    def _impatient(self, now: float, wish: Wish, tried: int) -> None:
-        if not wish.stood and wish.tries == tried and self.on.get(wish.cic) is wish:
+    def _on_patience_end(self, now: float, intent: CallIntent, try_number: int) -> None:
+        if not intent.stood and intent.tries == try_number and self.on.get(intent.cic) is intent:
             self.tally["given up"] += 1
-            self._hang_up(now, wish)
-            self._again(wish, 0.0)
+            self._hang_up(now, intent)
+            self._redial(intent, 0.0)
 
-    def _hang_up(self, now: float, wish: Wish, cause: int = 16) -> None:
-        self.on.pop(wish.cic, None)
-        for cic in self._circuits(wish):
+    def _hang_up(self, now: float, intent: CallIntent, cause: int = 16) -> None:
+        self.on.pop(intent.cic, None)
+        for cic in self._circuits(intent):
             self.group.set_state(self.group.circuits[cic], CircuitState.RELEASING)
-        self.send(IsupMessage(wish.cic, isup.REL, {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}))
+        self.send(IsupMessage(intent.cic, isup.REL, {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}))
 
-    def _circuits(self, wish: Wish) -> tuple[int, ...]:
-        return self.pairs.get(wish.cic, (wish.cic,))
+    def _circuits(self, intent: CallIntent) -> tuple[int, ...]:
+        return self.wide_call_circuits.get(intent.cic, (intent.cic,))
 
-    def _again(self, wish: Wish, retry: float) -> None:
-        """Dials again, as often as callers do; what can't be heeded is not waited for."""
+    def _redial(self, intent: CallIntent, retry_after: float) -> None:
+        """Schedules the next try, or counts the intent as unserved.
+
+        No redial is scheduled when the redials are used up or the next try would begin after the deadline.
+        `retry_after` is the wait in ms that the refusal asked for, 0 for none.
+        """
         wait = self.habits.redial_after * float(self.random.uniform(0.5, 1.5))
-        if retry and self.random.random() < self.habits.heeds:
-            wait = max(wait, retry * float(self.random.uniform(1.0, 1.2)))
+        if retry_after and self.random.random() < self.habits.heeds:
+            wait = max(wait, retry_after * float(self.random.uniform(1.0, 1.2)))
         now = self.loop.now
-        late = now + wait > wish.first + wish.kind.deadline
-        if wish.tries > self.habits.redials or late or self.quiet:
+        past_deadline = now + wait > intent.first_try_at + intent.kind.deadline
+        if intent.tries > self.habits.redials or past_deadline or self.quiet:
             self.tally["unserved"] += 1
             return
-        self.loop.timers.schedule(now + wait, self._try, wish)
+        self.loop.timers.schedule(now + wait, self._try, intent)
 
-    def _cut(self, wish: Wish) -> None:
+    def _count_cut(self, intent: CallIntent) -> None:
         self.tally["cut"] += 1
 
-    def cut(self, share: float, back_within: float) -> int:
-        """A mass of standing calls ends at once and comes again, marked as cut."""
-        standing = [wish for wish in self.on.values() if wish.stood]
-        chosen = [wish for wish in standing if self.random.random() < share]
-        for wish in chosen:
-            self._hang_up(self.loop.now, wish, 41)
+    def cut(self, share: float, return_within: float) -> int:
+        """Releases a share of the established calls at once; their callers dial again, marked as cut.
+
+        Each new call intent begins within `return_within` ms. Returns the number of calls cut.
+        """
+        established = [intent for intent in self.on.values() if intent.stood]
+        chosen = [intent for intent in established if self.random.random() < share]
+        for intent in chosen:
+            self._hang_up(self.loop.now, intent, 41)
             self.tally["cut"] += 1
-            new = Wish(wish.kind, wish.calling, wish.called, 0.0)
-            new.was_cut = True
-            wait = float(self.random.uniform(0.1, 1.0)) * back_within
-            new.first = self.loop.now + wait
+            new_intent = CallIntent(intent.kind, intent.calling, intent.called, 0.0)
+            new_intent.was_cut = True
+            wait = float(self.random.uniform(0.1, 1.0)) * return_within
+            new_intent.first_try_at = self.loop.now + wait
             self.tally["offered again after a cut"] += 1
-            self.loop.timers.schedule(new.first, self._try, new)
+            self.loop.timers.schedule(new_intent.first_try_at, self._try, new_intent)
         return len(chosen)
 
-    # -- what the call server says
+    # -- messages from the call server
 
     def isup(self, message: IsupMessage) -> None:
-        wish = self.on.get(message.cic)
+        intent = self.on.get(message.cic)
         now = self.loop.now
-        if message.type in (isup.ACM, isup.CON, isup.ANM) and wish is not None and not wish.stood:
-            wish.stood = True
-            took = now - wish.first
-            self.delays.record_value(max(1, int((now - self.before[message.cic]) * 1_000)))
-            self.tally["in time" if took <= wish.kind.on_time else "late"] += 1
-            hold = float(self.random.exponential(wish.kind.hold))
-            self.loop.timers.schedule(now + hold, self._done, wish)
+        if message.type in (isup.ACM, isup.CON, isup.ANM) and intent is not None and not intent.stood:
+            intent.stood = True
+            elapsed = now - intent.first_try_at
+            self.setup_delays.record_value(max(1, int((now - self.tried_at[message.cic]) * 1_000)))
+            self.tally["in time" if elapsed <= intent.kind.on_time else "late"] += 1
+            hold = float(self.random.exponential(intent.kind.hold))
+            self.loop.timers.schedule(now + hold, self._end_call, intent)
         elif message.type == isup.REL:
             self.send(IsupMessage(message.cic, isup.RLC))
-            if wish is None:
+            if intent is None:
                 return
             del self.on[message.cic]
-            for cic in self._circuits(wish):
+            for cic in self._circuits(intent):
                 self.group.set_state(self.group.circuits[cic], CircuitState.IDLE)
             cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
-            if wish.stood:
+            if intent.stood:
+                # At the end of the day the call servers release established calls: these are not cut.
                 if cause not in (16, 31) and not self.quiet:
-                    self._cut(wish)  # at the end of the day the call servers release what stands
+                    self._count_cut(intent)
                 return
             self.tally[f"refused, cause {cause}"] += 1
-            words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
-            self._again(wish, float(words.get("retry", 0)))
+            user_words = isup.decode_user_words(message.parameters.get(isup.USER_TO_USER))
+            self._redial(intent, float(user_words.get("retry", 0)))
         elif message.type == isup.RLC:
-            for cic in self.pairs.get(message.cic, (message.cic,)):
+            for cic in self.wide_call_circuits.get(message.cic, (message.cic,)):
                 circuit = self.group.circuits.get(cic)
                 if circuit is not None and circuit.state is CircuitState.RELEASING:
                     self.group.set_state(circuit, CircuitState.IDLE)
 
-    def _done(self, now: float, wish: Wish) -> None:
-        if self.on.get(wish.cic) is wish and self.up:
-            self._hang_up(now, wish)
+    def _end_call(self, now: float, intent: CallIntent) -> None:
+        if self.on.get(intent.cic) is intent and self.up:
+            self._hang_up(now, intent)
 
-    def supervised(self, message: IsupMessage) -> None:
+    def on_supervision(self, message: IsupMessage) -> None:
         if message.type in (isup.CGB, isup.CGU):
             count, status = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
-            for at in range(count):
-                circuit = self.group.circuits.get(message.cic + at)
-                if circuit is not None and status[at]:
+            for offset in range(count):
+                circuit = self.group.circuits.get(message.cic + offset)
+                if circuit is not None and status[offset]:
                     self.group.set_blocked(circuit, remote=message.type == isup.CGB)
         elif message.type in (isup.BLO, isup.UBL):
             self.group.set_blocked(self.group.circuits[message.cic], remote=message.type == isup.BLO)
--- a/ospreybridge/standins/centre.py
+++ b/ospreybridge/standins/centre.py
@@ -1,4 +1,8 @@
-"""The centre: hears the free circuits of each exchange's groups and advises a tandem by destination, late."""
+"""Simulated traffic centre.
+
+It receives the free circuits of each exchange's trunk groups and sends each exchange the recommended tandem
+per destination. Advice is sent periodically, so it lags behind the reports.
+"""
 
 from __future__ import annotations
 
@@ -8,51 +12,60 @@
 
 
 class TheCentre:
-    """Free circuits as last reported, by exchange and far exchange; advice is worked out each `every` ms."""
+    """Keeps the last reported free circuits by exchange and far exchange, and sends advice periodically."""
 
-    def __init__(self, loop: EventLoop, every: float) -> None:
-        self.loop, self.every = loop, every
-        self.free: dict[int, dict[int, int]] = {}
+    def __init__(self, loop: EventLoop, interval_ms: float) -> None:
+        self.loop, self.interval_ms = loop, interval_ms
+        self.free_circuits: dict[int, dict[int, int]] = {}
         self.links: list[CentreLink] = []
-        loop.timers.schedule(loop.now + every, self._advise)
-
-    def best(self, origin: int, dest: int) -> int:
-        """The tandem whose narrower leg has the most free circuits; 255 where there is none."""
-        mine = self.free.get(origin, {})
-        rooms = {
-            tandem: min(room, self.free.get(tandem, {}).get(dest, 0))
-            for tandem, room in mine.items()
-            if tandem != dest
+        loop.timers.schedule(loop.now + interval_ms, self._send_advice)
+
+    def best_tandem(self, origin: int, destination: int) -> int:
+        """Returns the tandem whose smaller leg has the most free circuits, or 255 if none has any."""
+        first_legs = self.free_circuits.get(origin, {})
+        free_via = {
+            tandem: min(free, self.free_circuits.get(tandem, {}).get(destination, 0))
+            for tandem, free in first_legs.items()
+            if tandem != destination
         }
-        tandem = max(rooms, key=lambda number: rooms[number], default=255)
-        return tandem if rooms.get(tandem) else 255
+        tandem = max(free_via, key=lambda number: free_via[number], default=255)
+        return tandem if free_via.get(tandem) else 255
 
-    def _advise(self, now: float) -> None:
-        self.loop.timers.schedule(now + self.every, self._advise)
+    def _send_advice(self, now: float) -> None:
+        self.loop.timers.schedule(now + self.interval_ms, self._send_advice)
         for link in self.links:
-            for at in range(0, len(self.free), 120):
-                dests = sorted(self.free)[at : at + 120]
-                pairs = [bytes((d & 255, self.best(link.number, d) & 255)) for d in dests if d != link.number]
-                if pairs:
-                    link.unitdata(b"".join(pairs))
+            for offset in range(0, len(self.free_circuits), 120):
+                destinations = sorted(self.free_circuits)[offset : offset + 120]
+                advice = [
+                    bytes((d & 255, self.best_tandem(link.exchange_number, d) & 255))
+                    for d in destinations
+                    if d != link.exchange_number
+                ]
+                if advice:
+                    link.send_unitdata(b"".join(advice))
 
 
 class CentreLink(Endpoint):
+    """The centre's association to one call server; bodies travel in SCCP unitdata."""
+
     def __init__(
         self,
-        place: Place,
+        config: Place,
         centre: TheCentre,
-        number: int,
+        exchange_number: int,
     ) -> None:
-        self.centre, self.number = centre, number
+        self.centre, self.exchange_number = centre, exchange_number
         centre.links.append(self)
-        super().__init__(place)
+        super().__init__(config)
 
-    def unitdata(self, body: bytes) -> None:
+    def send_unitdata(self, body: bytes) -> None:
         if self.up and self.association is not None:
             self.association.send_data(m3ua.SI_SCCP, 0, sccp.encode(sccp.CENTRE_SUBSYSTEM, body))
 
-    def unit(self, data: m3ua.Data) -> None:
+    def on_other_data(self, data: m3ua.Data) -> None:
         _, body = sccp.decode(data.body)
-        rows = range(1, len(body) - 2, 3)
-        self.centre.free[self.number] = {body[at] | body[at + 1] << 8: body[at + 2] for at in rows}
+        # After one octet, each group: far exchange (two octets, little-endian) and free circuits (one octet).
+        offsets = range(1, len(body) - 2, 3)
+        self.centre.free_circuits[self.exchange_number] = {
+            body[at] | body[at + 1] << 8: body[at + 2] for at in offsets
+        }
--- a/ospreybridge/standins/endpoint.py
+++ b/ospreybridge/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""A peer that dials a call server, and answers supervision; what a call does is its heirs'."""
+"""Base class of the stand-ins: dials a call server and answers circuit supervision."""
 
 from __future__ import annotations
 
@@ -15,60 +15,69 @@
 from ospreybridge.signalling.errors import FrameError, MessageError
 from ospreybridge.signalling.isup import IsupMessage
 
-BUFFER = 1 << 24
-REDIAL = 200.0  # ms before a lost association is dialled again
+OUT_BUFFER_BYTES = 1 << 24
+REDIAL_DELAY_MS = 200.0  # wait after a lost association or a failed dial
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where an endpoint stands: its point code, the call server as its peer, and where that listens now."""
+    """Connection settings of an endpoint.
+
+    `call_server` describes the call server as a peer of the endpoint; `get_address` returns the address it
+    listens on now, or None while it does not listen.
+    """
 
     loop: EventLoop
     point_code: int
-    server: Peer
-    address: Callable[[], tuple[str, int] | None]
-    tls: TlsContexts | None = None  # the stand-ins' own set; `server.tls` is who they expect
+    call_server: Peer
+    get_address: Callable[[], tuple[str, int] | None]
+    tls_contexts: TlsContexts | None = None  # own credentials; the expected name is `call_server.tls_name`
 
 
 class Endpoint:
-    """One association towards `address()`, dialled again whenever it ends while `alive`."""
-
-    def __init__(self, place: Place) -> None:
-        self.loop, self.point_code = place.loop, place.point_code
-        self.server, self.address, self.tls = place.server, place.address, place.tls
-        self.pace = HandshakeScheduler(1, place.point_code)
+    """One association to `get_address()`, dialled again whenever it ends while `dial_enabled`."""
+
+    def __init__(self, config: Place) -> None:
+        self.loop, self.point_code = config.loop, config.point_code
+        self.call_server, self.get_address, self.tls_contexts = (
+            config.call_server,
+            config.get_address,
+            config.tls_contexts,
+        )
+        self.handshakes = HandshakeScheduler(1, config.point_code)
         self.association: Association | None = None
         self.stream: tcp.Stream | None = None
-        self.alive = True
-        self.failure = ""  # why the last dialling came to nothing
-        self.faults: list[str] = []  # what the call server sent that a real peer would not understand
-        self.loop.spawn(self._life())
+        self.dial_enabled = True
+        self.last_dial_error = ""  # why the last dial failed
+        self.faults: list[str] = []  # messages of the call server that a real peer would reject
+        self.loop.spawn(self._run())
 
     @property
     def up(self) -> bool:
+        """Whether the association is active."""
         return self.association is not None and self.association.state is AspState.ACTIVE
 
-    def _life(self) -> Task:
+    def _run(self) -> Task:
         while True:
-            address = self.address() if self.alive else None
+            address = self.get_address() if self.dial_enabled else None
             if address is not None:
                 try:
                     sock = yield from tcp.connect(self.loop, address, 2_000.0)
-                    if self.tls is not None:
-                        stream: tcp.Stream = yield from self.tls.connect(
-                            self.loop, sock, self.pace, self.server.tls_name
+                    if self.tls_contexts is not None:
+                        stream: tcp.Stream = yield from self.tls_contexts.connect(
+                            self.loop, sock, self.handshakes, self.call_server.tls_name
                         )
                     else:
-                        stream = tcp.Stream(self.loop, sock, BUFFER)
+                        stream = tcp.Stream(self.loop, sock, OUT_BUFFER_BYTES)
                 except (OSError, HandshakeError) as error:
-                    self.failure = str(error)
+                    self.last_dial_error = str(error)
                 else:
-                    yield from self._serve(stream)
-            yield "sleep", REDIAL
+                    yield from self._run_association(stream)
+            yield "sleep", REDIAL_DELAY_MS
 
-    def _serve(self, stream: tcp.Stream) -> Task:
+    def _run_association(self, stream: tcp.Stream) -> Task:
         self.stream = stream
-        association = Association(self, stream.write, self.point_code, 2, {}, self.server)
+        association = Association(self, stream.write, self.point_code, 2, {}, self.call_server)
         self.association = association
         stream.on_close = association.connection_closed
         splitter = m3ua.Splitter()
@@ -86,72 +95,75 @@
                 stream.close(str(error))
 
     def drop(self) -> None:
+        """Closes the connection; it is dialled again while `dial_enabled`."""
         if self.stream is not None:
             self.stream.close("dropped")
 
     def die(self) -> None:
-        self.alive = False
+        """Closes the connection and dials no more."""
+        self.dial_enabled = False
         self.drop()
 
     def send(self, message: IsupMessage) -> None:
+        """Sends an ISUP message, or drops it while the association is not active."""
         if self.up and self.association is not None:
             self.association.send_data(m3ua.SI_ISUP, message.cic & 15, isup.encode(message))
 
-    # -- what the association tells
+    # -- callbacks of the association; the on_* methods are for subclasses
 
-    def started(self) -> None:
-        """The association is up; heirs begin their work here."""
+    def on_active(self) -> None:
+        """Called when the association becomes active."""
 
-    def lost(self, reason: str) -> None:
-        """The association is down; all its circuits are idle at the next start."""
+    def on_inactive(self, reason: str) -> None:
+        """Called when the association is lost; all its circuits are idle when it becomes active again."""
 
     def isup(self, message: IsupMessage) -> None:
-        """One ISUP message that is no supervision."""
+        """Called for each ISUP message that is not circuit supervision."""
 
-    def unit(self, data: m3ua.Data) -> None:
-        """A DATA message of another service."""
+    def on_other_data(self, data: m3ua.Data) -> None:
+        """Called for each DATA message of another service than ISUP."""
 
     def association_active(self, association: Association) -> None:
-        self.started()
+        self.on_active()
 
     def association_inactive(self, association: Association, reason: str) -> None:
         if association is self.association:
-            self.lost(reason)
+            self.on_inactive(reason)
 
     def data_received(self, association: Association, data: m3ua.Data) -> None:
         if data.si != m3ua.SI_ISUP:
-            self.unit(data)
+            self.on_other_data(data)
             return
         try:
             message = isup.decode(data.body)
         except MessageError as error:
             self.faults.append(str(error))
             raise
-        answer = SUPERVISION.get(message.type)
-        if answer is None:
+        answer_type = SUPERVISION_ANSWERS.get(message.type)
+        if answer_type is None:
             self.isup(message)
             return
         if message.type in (isup.RSC, isup.GRS):
-            self.reset(message)
-        given = dict(message.parameters)
-        if answer == isup.GRA:
-            count, _ = isup.decode_range_status(given[isup.RANGE_STATUS])
-            given[isup.RANGE_STATUS] = isup.encode_range_status(count, [False] * count)
-        self.supervised(message)
-        self.send(IsupMessage(message.cic, answer, given))
+            self.on_reset(message)
+        parameters = dict(message.parameters)
+        if answer_type == isup.GRA:
+            count, _ = isup.decode_range_status(parameters[isup.RANGE_STATUS])
+            parameters[isup.RANGE_STATUS] = isup.encode_range_status(count, [False] * count)
+        self.on_supervision(message)
+        self.send(IsupMessage(message.cic, answer_type, parameters))
 
-    def reset(self, message: IsupMessage) -> None:
-        """RSC or GRS: calls on those circuits are lost."""
+    def on_reset(self, message: IsupMessage) -> None:
+        """Called for RSC and GRS: calls on these circuits are lost."""
 
-    def supervised(self, message: IsupMessage) -> None:
-        """BLO, UBL, CGB, CGU and resets, after they were understood."""
+    def on_supervision(self, message: IsupMessage) -> None:
+        """Called for each supervision message (BLO, UBL, CGB, CGU, RSC, GRS) before it is answered."""
 
     def message_received(self, association: Association, message: m3ua.Message) -> None:
         if message.kind == m3ua.ERR:
             self.faults.append(f"ERR {message.integer(m3ua.ERROR_CODE)}")
 
     def unknown_identifier(self, association: Association, identifier: int) -> None:
-        """Nobody dials an endpoint."""
+        """Never called: an endpoint accepts no connections."""
 
     def may_take_over(self, association: Association) -> bool:
         return False
@@ -161,7 +173,8 @@
         self.drop()
 
 
-SUPERVISION = {
+# Supervision messages and the message type that acknowledges each.
+SUPERVISION_ANSWERS = {
     isup.RSC: isup.RLC,
     isup.GRS: isup.GRA,
     isup.BLO: isup.BLA,
--- a/ospreybridge/standins/listservice.py
+++ b/ospreybridge/standins/listservice.py
@@ -1,4 +1,7 @@
-"""The exchange list as an M3UA signalling gateway: DAVA, DRST and DUNA with versions; it answers DAUD."""
+"""Simulated list service: an M3UA signalling gateway that sends the exchange list.
+
+Changes go out as DAVA, DRST or DUNA with versions; a DAUD is answered with the whole list.
+"""
 
 from __future__ import annotations
 
@@ -14,50 +17,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Item:
+class ListEntry:
+    """State of one exchange; `kind` is the M3UA message that announces it."""
+
     point_code: int
     kind: tuple[int, int] = m3ua.DAVA
-    start: int = 0  # which start of its processor; 0: long ago
-    began: float = 0.0
+    start_number: int = 0  # counts processor starts over all exchanges; 0: not restarted since the list began
+    started_at: float = 0.0  # ms on the clock of the loop
     version: int = 1
 
 
 class TheList:
-    """What is listed; its changes reach each subscriber `delay` ms later, drawn for each of them."""
+    """The exchange list. An update reaches each subscriber after a delay drawn from `delay_range_ms`."""
 
     def __init__(
-        self, loop: EventLoop, point_codes: list[int], delay: tuple[float, float], seed: int
+        self, loop: EventLoop, point_codes: list[int], delay_range_ms: tuple[float, float], seed: int
     ) -> None:
-        self.loop, self.delay, self.random = loop, delay, np.random.default_rng(seed)
-        self.items = {code: Item(code) for code in point_codes}
-        self.version, self.starts = 1, 0
+        self.loop, self.delay_range_ms, self.random = loop, delay_range_ms, np.random.default_rng(seed)
+        self.entries = {code: ListEntry(code) for code in point_codes}
+        self.version, self.start_count = 1, 0
         self.subscribers: list[ListLink] = []
-        self.stale = False  # the service hangs: no news goes out and audits are answered from before
-        self.held: dict[int, Item] = {}
+        self.frozen = False  # no updates are sent, and audits are answered from `frozen_entries`
+        self.frozen_entries: dict[int, ListEntry] = {}
 
     def change(self, point_code: int, kind: tuple[int, int], started: bool = False) -> None:
+        """Sets an exchange's state; `started` says that its processor was restarted just now."""
         self.version += 1
-        old = self.items[point_code]
-        item = replace(old, kind=kind, version=self.version)
+        old = self.entries[point_code]
+        entry = replace(old, kind=kind, version=self.version)
         if started:
-            self.starts += 1
-            item = replace(item, start=self.starts, began=self.loop.now)
-        self.items[point_code] = item
-        if not self.stale:
+            self.start_count += 1
+            entry = replace(entry, start_number=self.start_count, started_at=self.loop.now)
+        self.entries[point_code] = entry
+        if not self.frozen:
             for link in self.subscribers:
-                wait = float(self.random.uniform(*self.delay))
-                self.loop.timers.schedule(self.loop.now + wait, link.tell, item)
+                delay = float(self.random.uniform(*self.delay_range_ms))
+                self.loop.timers.schedule(self.loop.now + delay, link.send_entry, entry)
 
     def freeze(self, on: bool) -> None:
+        """Stops updates, as a service that hangs; when it ends, every subscriber gets the whole list."""
         if on:
-            self.held = dict(self.items)
-        self.stale = on
+            self.frozen_entries = dict(self.entries)
+        self.frozen = on
         if not on:
             for link in self.subscribers:
-                link.whole()
+                link.send_full_list()
 
-    def shown(self) -> dict[int, Item]:
-        return self.held if self.stale else self.items
+    def visible_entries(self) -> dict[int, ListEntry]:
+        """Returns the entries that audits are answered from."""
+        return self.frozen_entries if self.frozen else self.entries
 
 
 class ListLink(Endpoint):
@@ -65,29 +73,31 @@
 
     def __init__(
         self,
-        place: Place,
-        the_list: TheList,
+        config: Place,
+        service: TheList,
     ) -> None:
-        self.list = the_list
-        the_list.subscribers.append(self)
-        super().__init__(place)
+        self.service = service
+        service.subscribers.append(self)
+        super().__init__(config)
 
-    def tell(self, now: float, item: Item, of: int = 0) -> None:
+    def send_entry(self, now: float, entry: ListEntry, list_size: int = 0) -> None:
+        """Sends one entry; `list_size` is the number of entries if it is part of the whole list, else 0."""
         if self.up and self.association is not None:
-            age = int(now - item.began) if item.start else 0
-            version = self.list.version if of else item.version
-            info = format_info(version, item.start, age, of)
+            age_ms = int(now - entry.started_at) if entry.start_number else 0
+            version = self.service.version if list_size else entry.version
+            info = format_info(version, entry.start_number, age_ms, list_size)
             self.association.send(
-                m3ua.encode_ssnm(item.kind, self.server.routing_context, 0, item.point_code, info)
+                m3ua.encode_ssnm(entry.kind, self.call_server.routing_context, 0, entry.point_code, info)
             )
 
-    def whole(self) -> None:
-        items = self.list.shown()
-        for item in items.values():
-            self.tell(self.loop.now, item, len(items))
+    def send_full_list(self) -> None:
+        """Sends every entry, as after an audit."""
+        entries = self.service.visible_entries()
+        for entry in entries.values():
+            self.send_entry(self.loop.now, entry, len(entries))
 
     def message_received(self, association: Association, message: m3ua.Message) -> None:
         if message.kind == m3ua.DAUD:
-            self.whole()
+            self.send_full_list()
         else:
             super().message_received(association, message)
--- a/ospreybridge/standins/office.py
+++ b/ospreybridge/standins/office.py
@@ -1,4 +1,4 @@
-"""The own exchange's lines behind a processor with one line: it queues, refuses, slows, hangs, dies."""
+"""Simulated office: a single-server queue of set-ups that can refuse, slow down, hang or crash."""
 
 from __future__ import annotations
 
@@ -14,104 +14,121 @@
 
 @dataclass(frozen=True, slots=True)
 class Processor:
-    """Work in milliseconds of a warm processor; capacity right after a start as a share of the warm one."""
+    """Model of an office's processor. Times are in ms; the service times are means of a warm processor.
+
+    After a start its capacity grows from `cold_share` to 1 over `warm_after` ms. More set-ups than
+    `overload_factor` times the current capacity within `overload_for` ms crash it while it is cold.
+    """
 
     setup: float = 4.0
     release: float = 0.5
-    refuse_after: float = 1_500.0  # wait at which set-ups are refused, with the time to come back
+    refuse_after: float = 1_500.0  # queueing delay in ms above which set-ups are refused with a retry time
     cold_share: float = 0.3
     warm_after: float = 14_000.0
     overload_factor: float = 2.5
     overload_for: float = 1_500.0
-    slack: float = 6.0  # set-ups over the budget that chance may bring
+    setup_slack: float = 6.0  # set-ups above the limit that random arrivals may add
 
 
 class Office(Endpoint):
+    """The office of one exchange. Troubles set the factor that slows its work and whether it hangs."""
+
     def __init__(
         self,
-        place: Place,
+        config: Place,
         processor: Processor,
         seed: int,
     ) -> None:
-        self.p, self.random = processor, np.random.default_rng(seed)
+        self.processor, self.random = processor, np.random.default_rng(seed)
         self.slow, self.hung, self.fallen = 1.0, False, False
-        self.began = -1e12  # when the processor last started
-        self.free_at = 0.0  # when its line is free
+        self.started_at = -1e12  # when the processor last started
+        self.free_at = 0.0  # when the queued work is done
         self.queue: deque[IsupMessage] = deque()
-        self.taken: dict[int, str] = {}  # circuit: waiting, standing
-        self.arrivals: deque[float] = deque()
-        super().__init__(place)
+        self.circuit_states: dict[int, str] = {}  # "waiting" or "established", by circuit
+        self.recent_setups: deque[float] = deque()
+        super().__init__(config)
 
     # -- troubles
 
     def restart(self) -> None:
-        """A new processor: cold, its queue and calls are gone."""
-        self.began, self.hung, self.fallen = self.loop.now, False, False
+        """Replaces the processor by a cold one with no queue and no calls, and dials again."""
+        self.started_at, self.hung, self.fallen = self.loop.now, False, False
         self.queue.clear()
-        self.taken.clear()
+        self.circuit_states.clear()
         self.free_at = self.loop.now
-        self.alive = True
-
-    def capacity(self, now: float) -> float:
-        """Share of the warm capacity: linear from the cold share until it is warm."""
-        age = (now - self.began) / self.p.warm_after
-        return 1.0 if age >= 1 else self.p.cold_share + (1 - self.p.cold_share) * max(0.0, age)
-
-    def _over(self, now: float) -> bool:
-        """Whether what was sent in the last window is more than a cold processor bears (rule 4)."""
-        self.arrivals.append(now)
-        while now - self.arrivals[0] > self.p.overload_for:
-            self.arrivals.popleft()
-        share = self.capacity(now)
-        bears = self.p.overload_factor * share * self.p.overload_for / self.p.setup
-        return share < 1 and len(self.arrivals) > bears + self.p.slack
+        self.dial_enabled = True
+
+    def capacity_share(self, now: float) -> float:
+        """Returns the share of the warm capacity, which grows linearly from the cold share."""
+        warm_up_progress = (now - self.started_at) / self.processor.warm_after
+        return (
+            1.0
+            if warm_up_progress >= 1
+            else self.processor.cold_share + (1 - self.processor.cold_share) * max(0.0, warm_up_progress)
+        )
+
+    def _is_overloaded(self, now: float) -> bool:
+        """Counts a set-up; returns whether the last window exceeds what a cold processor takes (rule 4)."""
+        self.recent_setups.append(now)
+        while now - self.recent_setups[0] > self.processor.overload_for:
+            self.recent_setups.popleft()
+        share = self.capacity_share(now)
+        max_setups = (
+            self.processor.overload_factor * share * self.processor.overload_for / self.processor.setup
+        )
+        return share < 1 and len(self.recent_setups) > max_setups + self.processor.setup_slack
 
     # -- calls
 
     def isup(self, message: IsupMessage) -> None:
         now = self.loop.now
         if message.type == isup.IAM:
-            if self._over(now):
+            if self._is_overloaded(now):
                 self.fallen = True
                 self.die()
                 return
             if self.hung:
                 return
             wait = max(0.0, self.free_at - now)
-            if wait > self.p.refuse_after:
-                self._work(self.p.setup / 4)
-                given = {
+            if wait > self.processor.refuse_after:
+                self._add_work(self.processor.setup / 4)
+                parameters = {
                     isup.CAUSE_INDICATORS: isup.encode_cause(causes.CONGESTION, causes.LOCATION_USER),
                     isup.CONGESTION_LEVEL: b"\x02",
                     isup.USER_TO_USER: isup.encode_user_words(retry=int(wait)),
                 }
-                self.send(IsupMessage(message.cic, isup.REL, given))
+                self.send(IsupMessage(message.cic, isup.REL, parameters))
                 return
-            self.taken[message.cic] = "waiting"
-            self._work(self.p.setup)
-            self.loop.timers.schedule(self.free_at, self._answer, message.cic, self.began)
+            self.circuit_states[message.cic] = "waiting"
+            self._add_work(self.processor.setup)
+            self.loop.timers.schedule(self.free_at, self._answer, message.cic, self.started_at)
         elif message.type == isup.REL:
-            self.taken.pop(message.cic, None)
-            self._work(self.p.release)
+            self.circuit_states.pop(message.cic, None)
+            self._add_work(self.processor.release)
             self.send(IsupMessage(message.cic, isup.RLC))
 
-    def _work(self, work: float) -> None:
-        took = self.random.gamma(4.0, work / 4.0) * self.slow / self.capacity(self.loop.now)
-        self.free_at = max(self.free_at, self.loop.now) + took
-
-    def _answer(self, now: float, cic: int, began: float) -> None:
-        if self.taken.get(cic) != "waiting" or began != self.began or self.hung or not self.up:
+    def _add_work(self, mean_ms: float) -> None:
+        duration = self.random.gamma(4.0, mean_ms / 4.0) * self.slow / self.capacity_share(self.loop.now)
+        self.free_at = max(self.free_at, self.loop.now) + duration
+
+    def _answer(self, now: float, cic: int, started_at: float) -> None:
+        if (
+            self.circuit_states.get(cic) != "waiting"
+            or started_at != self.started_at
+            or self.hung
+            or not self.up
+        ):
             return
-        self.taken[cic] = "standing"
+        self.circuit_states[cic] = "established"
         self.send(IsupMessage(cic, isup.ACM, {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}))
         self.send(IsupMessage(cic, isup.ANM))
 
-    def reset(self, message: IsupMessage) -> None:
+    def on_reset(self, message: IsupMessage) -> None:
         count = 1
         if message.type == isup.GRS:
             count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
         for cic in range(message.cic, message.cic + count):
-            self.taken.pop(cic, None)
+            self.circuit_states.pop(cic, None)
 
-    def lost(self, reason: str) -> None:
-        self.taken.clear()
+    def on_inactive(self, reason: str) -> None:
+        self.circuit_states.clear()
--- a/ospreybridge/standins/platform.py
+++ b/ospreybridge/standins/platform.py
@@ -1,7 +1,6 @@
-"""What surrounds the call server on the users' platform, as small stand-ins on its own loop.
+"""Simulated parties of the platform: journal service, office and caller, on the call server's own loop.
 
-A journal service that tells a list, an office that answers what it is told to, a client of callers. They know
-the protocol by its codecs alone; faults are switched on by attributes.
+They share only the protocol codecs with the call server. Faults are switched on by attributes.
 """
 
 from __future__ import annotations
@@ -15,67 +14,75 @@
 from ospreybridge.signalling.jsonl import Message
 
 
-class Place:
-    """One listening address on a port of the kernel's choice, and the connections that came to it."""
+class ListeningStandIn:
+    """Base class: a listener on a port chosen by the kernel, and its open connections."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self.sock = tcp.listen(("127.0.0.1", 0))
         self.port = int(self.sock.getsockname()[1])
         self.streams: list[tcp.Stream] = []
-        loop.spawn(tcp.accept_connections(loop, self.sock, self._accepted))
+        loop.spawn(tcp.accept_connections(loop, self.sock, self._on_accept))
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accept(self, sock: socket.socket) -> None:
         stream = tcp.Stream(self.loop, sock)
         self.streams.append(stream)
-        self.loop.spawn(self._reading(stream))
+        self.loop.spawn(self._read(stream))
 
-    def _reading(self, stream: tcp.Stream) -> Task:
+    def _read(self, stream: tcp.Stream) -> Task:
         while data := (yield from stream.read()):
-            self.heard(stream, data)
-        self.streams = [one for one in self.streams if one is not stream]
+            self.on_data(stream, data)
+        self.streams = [other for other in self.streams if other is not stream]
         stream.close("the far end closed")
 
-    def heard(self, stream: tcp.Stream, data: bytes) -> None:
+    def on_data(self, stream: tcp.Stream, data: bytes) -> None:
+        """Called with each block of data read from a connection."""
         raise NotImplementedError
 
 
-class JournalService(Place):
-    """Tells all events after the number that it is asked for; an empty frame each quarter of a second."""
+class JournalService(ListeningStandIn):
+    """Sends the events after the number in each request, then new ones as they are published.
+
+    An empty frame goes out every 250 ms, unless the service is set to be silent.
+    """
 
     def __init__(self, loop: EventLoop, events: list[frames.Frame]) -> None:
         self.events, self.asked, self.mute = events, list[int](), False
         super().__init__(loop)
-        loop.spawn(self._beating())
+        loop.spawn(self._send_heartbeats())
 
-    def heard(self, stream: tcp.Stream, data: bytes) -> None:
+    def on_data(self, stream: tcp.Stream, data: bytes) -> None:
         (after,) = frames.REQUEST.unpack(data)
         self.asked.append(after)
         stream.write(b"".join(frames.encode(event) for event in self.events if event.number > after))
 
     def tell(self, event: frames.Frame) -> None:
+        """Appends an event and sends it on all connections."""
         self.events.append(event)
         for stream in self.streams:
             stream.write(frames.encode(event))
 
-    def _beating(self) -> Task:
+    def _send_heartbeats(self) -> Task:
         while not self.sock._closed:  # type: ignore[attr-defined]
             for stream in self.streams if not self.mute else ():
                 stream.write(frames.encode(frames.Frame(self.events[-1].number, frames.NO_CHANGES)))
             yield "sleep", 250.0
 
 
-class OfficeStandIn(Place):
-    """Answers each set-up with a description of its own; `spoil` goes out in place of the next answer."""
+class OfficeStandIn(ListeningStandIn):
+    """Answers each set-up with its load and a body of its own, unless it is set to be silent.
+
+    Malformed data can be set that goes out instead of the next answer.
+    """
 
-    def __init__(self, loop: EventLoop, group: int = 20) -> None:
-        self.group, self.spoil, self.mute = group, b"", False
+    def __init__(self, loop: EventLoop, size: int = 20) -> None:
+        self.size, self.spoil, self.mute = size, b"", False
         self.splitters: dict[int, jsonl.Splitter] = {}
         self.stands: dict[str, tcp.Stream] = {}
         self.asked: list[str] = []
         super().__init__(loop)
 
-    def heard(self, stream: tcp.Stream, data: bytes) -> None:
+    def on_data(self, stream: tcp.Stream, data: bytes) -> None:
         for line in self.splitters.setdefault(id(stream), jsonl.Splitter()).feed(data):
             message = jsonl.decode(line)
             if message.kind == jsonl.LAUNCH:
@@ -90,26 +97,27 @@
             self.spoil = b""
         elif not self.mute:
             self.stands[message.uid] = stream
-            load = f"free:{self.group - len(self.stands)};size:{self.group}"
+            load = f"free:{self.size - len(self.stands)};size:{self.size}"
             stream.write(
                 jsonl.encode(Message(jsonl.RUNNING, message.uid, {"load": load}, body=f"of {message.uid}"))
             )
 
     def release(self, uid: str) -> None:
+        """Ends an established call from the office's side."""
         self.stands.pop(uid).write(jsonl.encode(Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING)))
 
 
 class CallerStandIn:
-    """One connection of callers: what it was answered, by call."""
+    """One client connection; `answers` holds the messages received, by call."""
 
     def __init__(self, loop: EventLoop, port: int) -> None:
         sock = socket.create_connection(("127.0.0.1", port), timeout=5.0)
         self.stream = tcp.Stream(loop, sock)
         self.answers: dict[str, deque[Message]] = {}
         self.gone = False
-        loop.spawn(self._reading())
+        loop.spawn(self._read())
 
-    def _reading(self) -> Task:
+    def _read(self) -> Task:
         splitter = jsonl.Splitter()
         while data := (yield from self.stream.read()):
             for line in splitter.feed(data):
@@ -118,10 +126,11 @@
         self.stream.close("the far end closed")
         self.gone = True
 
-    def launch(self, uid: str, dest: int, left: int = 1_500) -> None:
+    def launch(self, uid: str, dest: int, remaining_ms: int = 1_500) -> None:
+        """Sends a call to exchange `dest`; `remaining_ms` is the time left for its set-up."""
         meta: dict[str, jsonl.Value] = {
             "class": "voice",
-            "left": str(left),
+            "left": str(remaining_ms),
             "tenant": "acme",
             "key": uid,
             "extras": f"dest:{dest};width:1;via:-1",
@@ -129,4 +138,5 @@
         self.stream.write(jsonl.encode(Message(jsonl.LAUNCH, uid, meta, body="an offer")))
 
     def kinds(self, uid: str) -> list[str]:
+        """Returns the kinds of the messages received for a call, in order."""
         return [message.kind for message in self.answers.get(uid, ())]
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line with real processes: settings refused, a server's life, one call, a short bad day."""
+"""The command line with real processes: invalid settings, serve, reload, one call, a short scripted day."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.decode import decode
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-SOUND = """
+VALID_SETTINGS = """
 exchange "cs1" number=1 point-code=1 listen="127.0.0.1:0" { prefix "371"; }
 peer "cs2" role="exchange" plain=true number=2 point-code=2 context=12 { circuits "1-31"; prefix "372"; }
 peer "callers" role="callers" plain=true point-code=2001 context=5 { circuits "1-31"; }
@@ -53,12 +53,12 @@
         (('class "lookup"', 'class "look'), 7, "not KDL"),
     ],
 )
-def test_bad_settings_name_line_and_key_and_start_nothing(
+def test_invalid_settings_report_line_and_key_and_start_nothing(
     tmp_path: Path, change: tuple[str, str], line: int, key: str
 ) -> None:
     file = tmp_path / "bad.kdl"
-    assert change[0] in SOUND
-    file.write_text(SOUND.replace(*change))
+    assert change[0] in VALID_SETTINGS
+    file.write_text(VALID_SETTINGS.replace(*change))
     for words in (["check", str(file)], ["serve", str(file), "--port-file", str(tmp_path / "port")]):
         ended = run(*words)
         assert ended.returncode == 2, ended.stderr
@@ -66,7 +66,7 @@
     assert not (tmp_path / "port").exists()
 
 
-def test_all_examples_are_sound() -> None:
+def test_all_examples_are_valid_and_cover_every_trouble() -> None:
     from ospreybridge.lab.script import KINDS, load
 
     assert run("check", str(EXAMPLES / "cs1.kdl")).returncode == 0
@@ -76,9 +76,9 @@
         assert kind in {trouble.kind for trouble in days[kind].troubles}
 
 
-def test_a_server_s_life_reload_refusal_one_call_and_an_orderly_end(tmp_path: Path) -> None:
+def test_serve_reloads_refuses_a_reload_carries_a_call_and_stops(tmp_path: Path) -> None:
     file, port_file, log = tmp_path / "cs1.kdl", tmp_path / "port", tmp_path / "log"
-    file.write_text(SOUND)
+    file.write_text(VALID_SETTINGS)
     with log.open("wb") as out:
         command = [sys.executable, "-m", "ospreybridge", "serve", str(file), "--log-calls"]
         command += ["--port-file", str(port_file), "--capture", str(tmp_path / "a.pcapng")]
@@ -87,32 +87,34 @@
     try:
         wait(lambda: port_file.exists() and port_file.read_text().strip())
 
-        def told(event: str) -> list[dict[str, object]]:
+        def logged(event: str) -> list[dict[str, object]]:
             lines = [json.loads(line) for line in log.read_text().splitlines() if line.endswith("}")]
             return [line for line in lines if line["event"] == event]
 
-        wait(lambda: told("serving"))
-        file.write_text(SOUND.replace('prefix "372"', 'prefix "372" "399"'))
+        wait(lambda: logged("serving"))
+        file.write_text(VALID_SETTINGS.replace('prefix "372"', 'prefix "372" "399"'))
         server.send_signal(signal.SIGHUP)
-        wait(lambda: told("reloaded"))
-        assert told("reloaded")[0]["changed"] == ["prefixes"]
-        file.write_text(SOUND.replace("point-code=2 ", "point-code=3 "))
+        wait(lambda: logged("reloaded"))
+        assert logged("reloaded")[0]["changed"] == ["prefixes"]
+        file.write_text(VALID_SETTINGS.replace("point-code=2 ", "point-code=3 "))
         server.send_signal(signal.SIGHUP)
-        wait(lambda: told("reload refused"))
+        wait(lambda: logged("reload refused"))
         assert server.poll() is None
-        at = tmp_path / "at.kdl"
-        at.write_text(SOUND.replace("127.0.0.1:0", f"127.0.0.1:{port_file.read_text().strip()}"))
-        command = [sys.executable, "-m", "ospreybridge", "offices", str(at), "--seconds", "30"]
+        listening_file = tmp_path / "at.kdl"
+        listening_file.write_text(
+            VALID_SETTINGS.replace("127.0.0.1:0", f"127.0.0.1:{port_file.read_text().strip()}")
+        )
+        command = [sys.executable, "-m", "ospreybridge", "offices", str(listening_file), "--seconds", "30"]
         offices = subprocess.Popen(command, stdout=subprocess.DEVNULL)
-        wait(lambda: sum(line.get("peer") in ("office", "list") for line in told("link up")) == 2)
-        made = run("call", "3710001", "--settings", str(at))
-        assert made.returncode == 0 and "the call stands, by office" in made.stdout, made.stdout
-        refused = run("call", "3720001", "--settings", str(at))
+        wait(lambda: sum(line.get("peer") in ("office", "list") for line in logged("link up")) == 2)
+        call = run("call", "3710001", "--settings", str(listening_file))
+        assert call.returncode == 0 and "the call stands, by office" in call.stdout, call.stdout
+        refused = run("call", "3720001", "--settings", str(listening_file))
         assert refused.returncode == 1 and "REL: cause" in refused.stdout, refused.stdout
-        assert {line["ref"] for line in told("call")} == {"1/1", "1/2"}
+        assert {line["ref"] for line in logged("call")} == {"1/1", "1/2"}
         server.send_signal(signal.SIGTERM)
         assert server.wait(10) == 0
-        assert told("stopped")
+        assert logged("stopped")
         with (tmp_path / "a.pcapng").open("rb") as stream:
             packets = [block for block in FileScanner(stream) if isinstance(block, EnhancedPacket)]
         assert len(packets) > 20 and all(b"m3ua" in packet.packet_data[:12] for packet in packets)
@@ -124,8 +126,8 @@
             offices.wait()
 
 
-def test_a_short_bad_day_keeps_all_rules_and_every_frame_can_be_read(tmp_path: Path) -> None:
-    """Real processes and troubles; judged from the frames, which an independent decoder reads."""
+def test_short_day_with_troubles_breaks_no_rule_and_every_frame_is_decodable(tmp_path: Path) -> None:
+    """Runs real processes with troubles; an independent decoder reads the captured frames."""
     script = tmp_path / "day.kdl"
     base = (EXAMPLES / "day-crash.kdl").read_text().split("trouble")[0]
     script.write_text(
@@ -145,7 +147,7 @@
     assert malformed == [] and names["frames"] > 2_000 and names["InitialAddress"] > 50
 
 
-def test_a_day_that_is_not_sound_exits_2(tmp_path: Path) -> None:
+def test_invalid_script_exits_with_2(tmp_path: Path) -> None:
     script = tmp_path / "day.kdl"
     script.write_text('day "x"\nclass "a" on-time=1 deadline=2\ntrouble "earthquake" at=1\n')
     ended = run("day", str(script))
