--- a/ospreybridge/cli/main.py
+++ b/ospreybridge/cli/main.py
@@ -159,8 +159,9 @@
 
 
 def _serve_platform(
-    logger: Callable[[str, str], Callable[..., None]], log_format: str, log_calls: bool
+    make_logger: Callable[[str, str], Callable[..., None]], log_format: str, log_calls: bool
 ) -> NoReturn:
+    """Runs the platform's call server with the configuration that ROUTER_CONFIG names."""
     from ospreybridge.daemon.platform import PlatformDaemon
     from ospreybridge.settings.platform import load
 
@@ -170,7 +171,7 @@
         sys.exit(2)
     platform = _load_or_exit(lambda: load(Path(config_path)))
     try:
-        daemon = PlatformDaemon(platform, logger(log_format, platform.name), log_calls)
+        daemon = PlatformDaemon(platform, make_logger(log_format, platform.name), log_calls)
     except OSError as error:
         click.echo(f"{config_path}: listen: {error}", err=True)
         sys.exit(2)
--- a/ospreybridge/standins/callers.py
+++ b/ospreybridge/standins/callers.py
@@ -185,7 +185,7 @@
         established = [intent for intent in self.on.values() if intent.stood]
         chosen = [intent for intent in established if self.random.random() < share]
         for intent in chosen:
-            self._hang_up(self.loop.now, intent, 41)
+            self._hang_up(self.loop.now, intent, 41)  # 41: temporary failure
             self.tally["cut"] += 1
             new_intent = CallIntent(intent.kind, intent.calling, intent.called, 0.0)
             new_intent.was_cut = True
@@ -216,7 +216,7 @@
                 self.group.set_state(self.group.circuits[cic], CircuitState.IDLE)
             cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
             if intent.stood:
-                # At the end of the day the call servers release established calls: these are not cut.
+                # Not cut: normal clearing (16, 31), and releases by the call servers at the end of a day.
                 if cause not in (16, 31) and not self.quiet:
                     self._count_cut(intent)
                 return
--- a/ospreybridge/standins/office.py
+++ b/ospreybridge/standins/office.py
@@ -91,7 +91,7 @@
                 return
             wait = max(0.0, self.free_at - now)
             if wait > self.processor.refuse_after:
-                self._add_work(self.processor.setup / 4)
+                self._add_work(self.processor.setup / 4)  # a refusal takes less work than a set-up
                 parameters = {
                     isup.CAUSE_INDICATORS: isup.encode_cause(causes.CONGESTION, causes.LOCATION_USER),
                     isup.CONGESTION_LEVEL: b"\x02",
