--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -871,17 +871,17 @@
         """By office name, the controller's state beside what was counted here, to log and compare."""
         figures = {}
         for office_id, pool in self.pools.items():
-            exchange = self.controller.offices.get(office_id)
+            exchange = self.controller.exchanges.get(office_id)
             open_attempts = sum(len(connection.attempts) for connection in pool.connections.values()) + len(
                 pool.waiting
             )
             figures[frames.office_name(office_id)] = {
-                "state": exchange.state.name if exchange else "GONE",
-                "cell": exchange.cell if exchange else -1,
+                "state": exchange.readiness.name if exchange else "GONE",
+                "cell": exchange.number if exchange else -1,
                 "free": exchange.free if exchange else None,
                 "told": pool.last_load,
                 "window": round(exchange.window, 2) if exchange else None,
-                "pending": len(exchange.pending) if exchange else 0,
+                "pending": len(exchange.unanswered) if exchange else 0,
                 "out": open_attempts,
                 "standing": len(self.established_by_office.get(office_id, ())),
                 "links": len(pool.connections),
--- a/ospreybridge/cli/main.py
+++ b/ospreybridge/cli/main.py
@@ -139,7 +139,7 @@
         writer = Capture(capture)
 
         def record(source: int, target: int, frame: bytes) -> None:
-            writer.note(time.time() * 1_000.0, source, target, frame)
+            writer.write(time.time() * 1_000.0, source, target, frame)
 
     try:
         daemon = Daemon(settings, make_logger(log_format, settings.name), log_calls, record)
@@ -189,15 +189,15 @@
     """
     from ospreybridge.net.loop import EventLoop
     from ospreybridge.settings.server import Peer
-    from ospreybridge.standins.endpoint import Endpoint, Place
-    from ospreybridge.standins.listservice import ListLink, TheList
+    from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
+    from ospreybridge.standins.listservice import ListLink, ListService
     from ospreybridge.standins.office import Office, Processor
 
     settings = _load_settings(file)
     _require_plain_links(file, settings, "office", "list")
     loop = EventLoop()
     numbers = [settings.point_code, *(p.point_code for p in settings.peers if p.role == "exchange")]
-    list_service = TheList(loop, numbers, (0.0, 100.0), 1)
+    list_service = ListService(loop, numbers, (0.0, 100.0), 1)
     standins: list[Endpoint] = []
     for peer in settings.peers:
         server = Peer(
@@ -208,9 +208,9 @@
             dial_address=("", 0),
             cics=peer.cics,
         )
-        place = Place(loop, peer.point_code, server, lambda: settings.listen)
+        place = EndpointConfig(loop, peer.point_code, server, lambda: settings.listen)
         if peer.role == "office":
-            standins.append(Office(place, Processor(setup=setup), 1))
+            standins.append(Office(place, Processor(setup_ms=setup), 1))
         elif peer.role == "list":
             standins.append(ListLink(place, list_service))
     click.echo(f"standing in for {len(standins)} peers of {settings.name}; interrupt to end")
@@ -272,7 +272,7 @@
     The rules are checked against the frames that passed between the processes. Exit code 0: no rule broken;
     1: a rule was broken or a process failed; 2: the script is invalid.
     """
-    from ospreybridge.lab.day import Player
+    from ospreybridge.lab.day import DayRunner
     from ospreybridge.lab.script import load as load_script
 
     scripted_day = _load_or_exit(lambda: load_script(script, factor, not calm))
@@ -282,19 +282,19 @@
             click.echo(line, err=True)
 
     with tempfile.TemporaryDirectory(prefix="ospreybridge-") as temporary:
-        runner = Player(scripted_day, keep or Path(temporary), log)
+        runner = DayRunner(scripted_day, keep or Path(temporary), log)
         try:
-            report = runner.play()
+            report = runner.run()
         except RuntimeError as error:
             click.echo(str(error), err=True)
             sys.exit(1)
         if capture is not None:
-            log(f"{runner.capture(capture)} frames in {capture}")
-    data = report.data()
+            log(f"{runner.write_capture(capture)} frames in {capture}")
+    data = report.as_dict()
     if json_file is not None:
         json_file.write_text(json.dumps(data, indent=1) + "\n")
     _print_report(data)
-    sys.exit(0 if report.kept else 1)
+    sys.exit(0 if report.passed else 1)
 
 
 @main.command()
--- a/ospreybridge/fronts/credential_manager.py
+++ b/ospreybridge/fronts/credential_manager.py
@@ -16,8 +16,8 @@
 from ospreybridge.core.sessions import SessionCache
 from ospreybridge.keys import credentials, validation
 from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH, CertificateInfo
+from ospreybridge.keys.expiry import ExpiryWarnings
 from ospreybridge.keys.validation import FailureReason
-from ospreybridge.keys.watch import ExpiryWarnings
 from ospreybridge.net import tls
 from ospreybridge.settings.server import Peer, TlsSettings
 
--- a/ospreybridge/fronts/m3ua.py
+++ b/ospreybridge/fronts/m3ua.py
@@ -215,7 +215,7 @@
         Raises CredentialsError if the key set of the settings is not valid, OSError if a port can't be bound.
         `record` is called for each frame sent or received; `wall` returns Unix seconds.
         """
-        self.loop, self.settings, self.core, self.log, self.record = loop, settings, core, log, record
+        self.loop, self.settings, self.call_server, self.log, self.record = loop, settings, core, log, record
         self.channels: dict[int, Channel] = {}  # by id() of the association
         self.links: dict[int, PeerLink] = {}  # by point code of the peer
         self.counts: Counter[str] = Counter()
@@ -431,7 +431,7 @@
     def _renew_links(self) -> Task:
         while not self.stopping:
             for point_code in self.renewals.take_due(self.loop.now):
-                self.loop.spawn(self._move_link(self.core.peers[point_code]))
+                self.loop.spawn(self._move_link(self.call_server.peers[point_code]))
             yield "sleep", self.renewals.next_check_delay(self.loop.now)
 
     def _move_link(self, peer: Peer) -> Task:
@@ -481,7 +481,7 @@
             link = self.links[point_code] = PeerLink(
                 self.loop.timers, channel, lambda reason: self._link_lost(point_code, reason)
             )
-            self.core.link_up(now, point_code, link)
+            self.call_server.link_up(now, point_code, link)
         if handshake is not None and self.credentials is not None:
             self.credentials.handshakes.record_success(point_code)
             if handshake.dialled:
@@ -497,7 +497,7 @@
         del self.links[point_code]
         if self.credentials is not None:
             self.renewals.link_down(point_code)
-        self.core.link_down(self.loop.now, point_code, reason)
+        self.call_server.link_down(self.loop.now, point_code, reason)
 
     def may_take_over(self, association: Association) -> bool:
         """Whether the peer has a link that this association may take over."""
@@ -505,7 +505,10 @@
 
     def unknown_identifier(self, association: Association, identifier: int) -> None:
         """Reports an ASP identifier that this connection may not use, if it belongs to a configured peer."""
-        peer, over_tls = self.core.peers.get(identifier), self.channels[id(association)].handshake is not None
+        peer, over_tls = (
+            self.call_server.peers.get(identifier),
+            self.channels[id(association)].handshake is not None,
+        )
         reason = validation.identity_claim_error(bool(peer.tls_name), over_tls) if peer is not None else None
         if peer is not None and reason is not None:
             self._report_refusal(
@@ -515,7 +518,7 @@
     def data_received(self, association: Association, data: m3ua.Data) -> None:
         """Passes a DATA message to the call server; MessageError if its user part can't be decoded."""
         try:
-            self.core.receive_data(self.loop.now, data.opc, data)
+            self.call_server.receive_data(self.loop.now, data.opc, data)
         except MessageError as error:
             self.log_event("unreadable", peer=peer_of(association).name, error=str(error))
             raise
@@ -532,7 +535,7 @@
             channel.drop("the peer refused the takeover")
         elif peer is not None and peer.role == "list" and message.kind in (m3ua.DAVA, m3ua.DRST, m3ua.DUNA):
             if message.info_string():
-                self.core.receive_list_update(
+                self.call_server.receive_list_update(
                     self.loop.now, message.kind, message.affected_point_codes(), message.info_string()
                 )
         else:
--- a/ospreybridge/lab/day.py
+++ b/ospreybridge/lab/day.py
@@ -25,7 +25,7 @@
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.lab import tap
 from ospreybridge.lab.checker import Checker, CheckerConfig, CheckResult
-from ospreybridge.lab.harness import CALLERS, CENTRE, LIST, OFFICE
+from ospreybridge.lab.harness import CALLERS_CODE_BASE, CENTRE_POINT_CODE, LIST_POINT_CODE, OFFICE_CODE_BASE
 from ospreybridge.lab.relay import DOMAIN, SHARED_CREDENTIALS, load_shared_credentials
 from ospreybridge.lab.script import Day, Trouble
 from ospreybridge.net.loop import EventLoop, Task
@@ -33,9 +33,9 @@
 from ospreybridge.settings.server import Peer, parse_cic_ranges
 from ospreybridge.signalling import m3ua
 from ospreybridge.standins.callers import Callers
-from ospreybridge.standins.centre import CentreLink, TheCentre
-from ospreybridge.standins.endpoint import Place
-from ospreybridge.standins.listservice import ListLink, TheList
+from ospreybridge.standins.centre import CentreLink, TrafficCentre
+from ospreybridge.standins.endpoint import EndpointConfig
+from ospreybridge.standins.listservice import ListLink, ListService
 from ospreybridge.standins.office import Office
 
 START_TIMEOUT_MS = 60_000.0
@@ -66,11 +66,11 @@
     notes: list[str] = field(default_factory=list)
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether all rules were kept and no process or stand-in reported a fault."""
         return not self.check_result.violations and not self.faults
 
-    def data(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """The report in its JSON form."""
         offered_again = self.tally["offered again after a cut"]
         offered = max(1, self.tally["offered"] + offered_again)
@@ -101,7 +101,7 @@
         }
 
 
-class Player:
+class DayRunner:
     """Starts the fleet of a day, generates its traffic and troubles, and reports the result."""
 
     def __init__(self, day: Day, work_dir: Path, log: Callable[[str], None]) -> None:
@@ -170,15 +170,15 @@
                     f'{{ circuits "1-{day.fleet["circuits"]}"; prefix "{self.called_prefix(m)}"; }}'
                 )
         for name, role, code, size in (
-            ("office", "office", OFFICE + n, day.fleet["lines"]),
-            ("callers", "callers", CALLERS + n, day.fleet["access"]),
+            ("office", "office", OFFICE_CODE_BASE + n, day.fleet["lines"]),
+            ("callers", "callers", CALLERS_CODE_BASE + n, day.fleet["access"]),
         ):
             properties = (
                 f'role="{role}" {self.transport_property(name)} point-code={code} '
                 f"context={self.routing_context(n, code)}"
             )
             lines.append(f'peer "{name}" {properties} {{ circuits "1-{size}"; }}')
-        for name, code in (("list", LIST), ("centre", CENTRE)):
+        for name, code in (("list", LIST_POINT_CODE), ("centre", CENTRE_POINT_CODE)):
             properties = (
                 f"{self.transport_property(name)} point-code={code} context={self.routing_context(n, code)}"
             )
@@ -239,7 +239,7 @@
                 links[m % relay_count].append(
                     [n, m, self.day.scale_ms(link_delay), self.routing_context(n, m)]
                 )
-            for code in (OFFICE + n, CALLERS + n, LIST, CENTRE):
+            for code in (OFFICE_CODE_BASE + n, CALLERS_CODE_BASE + n, LIST_POINT_CODE, CENTRE_POINT_CODE):
                 links[n % relay_count].append([code, n, 0, self.routing_context(code, n)])
         for index in range(relay_count):
             path = self.work_dir / f"relay{index}.tap"
@@ -291,11 +291,11 @@
     def start_standins(self) -> None:
         """Creates the exchange list, the traffic centre, and the office and callers of each exchange."""
         day, loop = self.day, self.loop
-        self.exchange_list = TheList(loop, list(self.exchange_numbers), day.list_delay_ms, day.seed)
-        centre = TheCentre(loop, day.centre_interval_ms)
+        self.exchange_list = ListService(loop, list(self.exchange_numbers), day.list_delay_ms, day.seed)
+        centre = TrafficCentre(loop, day.centre_interval_ms)
         for n in self.exchange_numbers:
 
-            def place(code: int, size: int = 0, n: int = n) -> Place:
+            def place(code: int, size: int = 0, n: int = n) -> EndpointConfig:
                 cics = parse_cic_ranges([f"1-{size}"]) if size else ()
                 server = Peer(
                     "cs",
@@ -310,15 +310,19 @@
                 def address() -> tuple[str, int] | None:
                     return ("127.0.0.1", self.relay_ports[code, n]) if self.servers[n].port else None
 
-                return Place(loop, code, server, address, self.tls_contexts)
+                return EndpointConfig(loop, code, server, address, self.tls_contexts)
 
             lines, access = day.fleet["lines"], day.fleet["access"]
-            self.offices[n] = Office(place(OFFICE + n, lines), day.processor, day.seed + n)
+            self.offices[n] = Office(place(OFFICE_CODE_BASE + n, lines), day.processor, day.seed + n)
             self.callers[n] = Callers(
-                place(CALLERS + n, access), day.habits, day.seed * 7 + n, self.tally, self.setup_delays
+                place(CALLERS_CODE_BASE + n, access),
+                day.habits,
+                day.seed * 7 + n,
+                self.tally,
+                self.setup_delays,
             )
-            ListLink(place(LIST), self.exchange_list)
-            CentreLink(place(CENTRE), centre, n)
+            ListLink(place(LIST_POINT_CODE), self.exchange_list)
+            CentreLink(place(CENTRE_POINT_CODE), centre, n)
 
     def all_associations_up(self) -> bool:
         """Whether the associations of all offices, callers and list links are active."""
@@ -353,7 +357,7 @@
             prefix = prefixes[int(random.choice(len(prefixes), p=weights))]
             self.call_count += 1
             calling_number = f"{prefix}{self.call_count:0{min(9, 15 - len(prefix))}d}"
-            self.callers[origin].wish(
+            self.callers[origin].place_call(
                 call_kind, calling_number, self.called_prefix(destination) + f"{self.call_count % 10_000:04d}"
             )
 
@@ -400,16 +404,18 @@
 
     def _retry_abuse(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         normal = self.day.habits
-        abusive = replace(normal, redials=normal.redials + 4, redial_after=normal.redial_after / 4, heeds=0.0)
+        abusive = replace(
+            normal, redials=normal.redials + 4, redial_after=normal.redial_after / 4, heed_share=0.0
+        )
         for callers in self.callers.values():
-            callers.habits = abusive
+            callers.behaviour = abusive
         yield "sleep", duration
         for callers in self.callers.values():
-            callers.habits = normal
+            callers.behaviour = normal
 
     def _cut_calls(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         cut = sum(
-            c.cut(trouble.share, self.day.scale_ms(trouble.return_within * 1_000))
+            c.cut_calls(trouble.share, self.day.scale_ms(trouble.return_within * 1_000))
             for c in self.callers.values()
         )
         self.notes.append(f"{cut} established calls cut at {trouble.at:g} s")
@@ -417,10 +423,10 @@
 
     def _slow(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         for n in affected:
-            self.offices[n].slow = trouble.factor
+            self.offices[n].slowdown = trouble.factor
         yield "sleep", duration
         for n in affected:
-            self.offices[n].slow = 1.0
+            self.offices[n].slowdown = 1.0
 
     def _hang(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         for n in affected:
@@ -435,14 +441,14 @@
             self._restart_office(n)
 
     def _restart_office(self, n: int) -> None:
-        self.offices[n].drop()
+        self.offices[n].disconnect()
         self.offices[n].restart()
-        self.exchange_list.change(n, m3ua.DAVA, started=True)
+        self.exchange_list.update(n, m3ua.DAVA, started=True)
 
     def _crash(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         for n in affected:
-            self.offices[n].die()
-            self.exchange_list.change(n, m3ua.DUNA)
+            self.offices[n].stop()
+            self.exchange_list.update(n, m3ua.DUNA)
         yield "sleep", duration
         for n in affected:
             self._restart_office(n)
@@ -451,11 +457,11 @@
         """Drains, stops and restarts the processors one after another; each comes back cold."""
         duration_per_exchange = duration / max(1, len(affected))
         for n in affected:
-            self.exchange_list.change(n, m3ua.DRST)
+            self.exchange_list.update(n, m3ua.DRST)
             grace = min(self.day.scale_ms(trouble.grace * 1_000), duration_per_exchange * 0.7)
             yield "sleep", grace
-            self.offices[n].die()
-            self.exchange_list.change(n, m3ua.DUNA)
+            self.offices[n].stop()
+            self.exchange_list.update(n, m3ua.DUNA)
             yield "sleep", duration_per_exchange - grace
             self._restart_office(n)
 
@@ -517,9 +523,9 @@
         self.command_relays(do="lose", share=0.0)
 
     def _stale_list(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
-        self.exchange_list.freeze(True)
+        self.exchange_list.set_frozen(True)
         yield "sleep", duration
-        self.exchange_list.freeze(False)
+        self.exchange_list.set_frozen(False)
 
     def _link_cut(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
         yield from self._apply_to_links("cut", affected, duration)
@@ -538,7 +544,7 @@
 
     # -- the whole day
 
-    def play(self) -> Report:
+    def run(self) -> Report:
         """Runs the day; raises RuntimeError when the fleet does not start or a task of this process fails."""
         day, loop = self.day, self.loop
         started = time.monotonic()
@@ -564,7 +570,7 @@
                 raise RuntimeError(failures[0])
             self.stopping = True
             for callers in self.callers.values():
-                callers.quiet = True
+                callers.redials_disabled = True
             longest_deadline = max(kind.deadline for kind in day.call_kinds)
             loop.run_until(self._all_calls_established, longest_deadline + 2_000.0)
             return self._finish(time.monotonic() - started)
@@ -572,7 +578,11 @@
             self._kill_processes()
 
     def _all_calls_established(self) -> bool:
-        return all(wish.stood for callers in self.callers.values() for wish in callers.on.values())
+        return all(
+            intent.established
+            for callers in self.callers.values()
+            for intent in callers.intent_by_circuit.values()
+        )
 
     def _log_progress(self) -> Task:
         interval_ms = max(1_000.0, self.day.scale_ms(self.day.seconds * 100))
@@ -616,9 +626,11 @@
             for event in ("link moved over", "link not moved over", "handshake refused"):
                 quoted_event = json.dumps(event)
                 self.notes.append(f"{event}: {sum(log.count(quoted_event) for log in logs)}")
-        faults += [f"callers {n}: {fault}" for n, c in self.callers.items() for fault in c.faults[:3]]
-        faults += [f"office {n}: {fault}" for n, o in self.offices.items() for fault in o.faults[:3]]
-        faults += [f"office {n} was overloaded while cold" for n, o in self.offices.items() if o.fallen]
+        faults += [
+            f"callers {n}: {fault}" for n, c in self.callers.items() for fault in c.protocol_errors[:3]
+        ]
+        faults += [f"office {n}: {fault}" for n, o in self.offices.items() for fault in o.protocol_errors[:3]]
+        faults += [f"office {n} was overloaded while cold" for n, o in self.offices.items() if o.crashed_cold]
         self.command_relays(do="stop")
         for relay in self.relays:
             relay.wait(10)
@@ -636,9 +648,9 @@
         scale_ms, rules = day.scale_ms, day.rules
         return CheckerConfig(
             exchanges=frozenset(self.exchange_numbers),
-            offices={OFFICE + n: n for n in self.exchange_numbers},
-            callers=frozenset(CALLERS + n for n in self.exchange_numbers),
-            list_services=frozenset({LIST}),
+            offices={OFFICE_CODE_BASE + n: n for n in self.exchange_numbers},
+            callers=frozenset(CALLERS_CODE_BASE + n for n in self.exchange_numbers),
+            list_services=frozenset({LIST_POINT_CODE}),
             deadline=max(kind.deadline for kind in day.call_kinds),
             answer_grace=20.0,
             drain_grace=scale_ms(rules["drain-grace"]),
@@ -647,7 +659,7 @@
             overload_for=scale_ms(rules["overload-for"]),
             cold_share=rules["cold-share"],
             warm_after=scale_ms(rules["warm-after"]),
-            setup_time=day.processor.setup,
+            setup_time=day.processor.setup_ms,
             suspensions=tuple(self.suspensions),
         )
 
@@ -658,12 +670,12 @@
                 process.kill()
                 process.wait()
 
-    def capture(self, path: Path) -> int:
+    def write_capture(self, path: Path) -> int:
         """Writes all frames of the day as a pcapng file of exported PDUs; returns their number."""
         capture, count = tap.Capture(path), 0
         for record in tap.merge_taps(self.tap_files):
             if record.frame and record.kind != tap.RELAY_BUSY:
-                capture.note(record.at, record.source, record.target, record.frame)
+                capture.write(record.at, record.source, record.target, record.frame)
                 count += 1
         capture.close()
         return count
--- a/ospreybridge/lab/harness.py
+++ b/ospreybridge/lab/harness.py
@@ -18,10 +18,12 @@
 
 # Point codes of the lab. An exchange has its number as its point code; its office and its callers have the
 # first two of these plus that number.
-OFFICE, CALLERS, LIST, CENTRE = 1_000, 2_000, 16_000, 16_001
+OFFICE_CODE_BASE, CALLERS_CODE_BASE, LIST_POINT_CODE, CENTRE_POINT_CODE = 1_000, 2_000, 16_000, 16_001
 
 
-def server(exchanges: int, circuits: int = 30, access: int = 300, **changes: object) -> ServerSettings:
+def server_settings(
+    exchanges: int, circuits: int = 30, access: int = 300, **changes: object
+) -> ServerSettings:
     """Returns settings of exchange 1 in a full mesh of `exchanges`.
 
     Called numbers that begin with 37 and the three-digit number of an exchange lead to it. `circuits` is the
@@ -43,7 +45,7 @@
         Peer(
             "office",
             "office",
-            OFFICE,
+            OFFICE_CODE_BASE,
             1,
             dial_address=("127.0.0.1", 1),
             cics=parse_cic_ranges([f"1-{min(access, 3_900)}"]),
@@ -51,7 +53,7 @@
     )
     for offset in range(0, access, 3_900):
         size = min(3_900, access - offset)
-        code = CALLERS + offset // 3_900
+        code = CALLERS_CODE_BASE + offset // 3_900
         peers.append(
             Peer(
                 f"callers{code}",
@@ -62,7 +64,7 @@
                 cics=parse_cic_ranges([f"1-{size}"]),
             )
         )
-    peers.append(Peer("list", "list", LIST, 3, dial_address=("127.0.0.1", 1)))
+    peers.append(Peer("list", "list", LIST_POINT_CODE, 3, dial_address=("127.0.0.1", 1)))
     fields: dict[str, object] = {
         "name": "cs1",
         "number": 1,
@@ -119,47 +121,49 @@
 class Harness:
     """A call server with recorded links; `now` is its clock in ms."""
 
-    def __init__(self, settings: ServerSettings, keep: bool = True) -> None:
+    def __init__(self, settings: ServerSettings, keep_sent: bool = True) -> None:
         self.timers = TimerQueue()
-        self.core = CallServer(settings, self.timers)
-        self.now, self.keep = 1_000.0, keep  # ms; whether sent messages are recorded
-        self.wires = {peer.point_code: LinkRecorder(self, peer.point_code) for peer in settings.peers}
-        self.watch: Callable[[int, IsupMessage], None] | None = None  # called with each message sent
+        self.call_server = CallServer(settings, self.timers)
+        self.now, self.keep_sent = 1_000.0, keep_sent  # ms; whether sent messages are recorded
+        self.links = {peer.point_code: LinkRecorder(self, peer.point_code) for peer in settings.peers}
+        self.on_sent: Callable[[int, IsupMessage], None] | None = None  # called with each message sent
 
     def record_sent(self, point_code: int, message: IsupMessage) -> None:
-        if self.keep:
-            self.wires[point_code].sent.append(message)
-        if self.watch is not None:
-            self.watch(point_code, message)
+        if self.keep_sent:
+            self.links[point_code].sent.append(message)
+        if self.on_sent is not None:
+            self.on_sent(point_code, message)
 
-    def up(self, *point_codes: int) -> None:
+    def activate_links(self, *point_codes: int) -> None:
         """Activates the given links (default: all); the far ends acknowledge the reset of their circuits."""
-        for code in point_codes or self.wires:
-            self.core.link_up(self.now, code, self.wires[code])
-            for message in list(self.wires[code].sent):
+        for code in point_codes or self.links:
+            self.call_server.link_up(self.now, code, self.links[code])
+            for message in list(self.links[code].sent):
                 if message.type == isup.GRS:
                     count, _ = isup.decode_range_status(message.parameters[isup.RANGE_STATUS])
                     range_status = isup.encode_range_status(count, [False] * count)
-                    self.give(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: range_status}))
+                    self.receive(code, IsupMessage(message.cic, isup.GRA, {isup.RANGE_STATUS: range_status}))
                 elif message.type == isup.RSC:
-                    self.give(code, IsupMessage(message.cic, isup.RLC))
-            self.wires[code].sent.clear()
+                    self.receive(code, IsupMessage(message.cic, isup.RLC))
+            self.links[code].sent.clear()
 
-    def ready(self, version: int = 1, kind: tuple[int, int] = m3ua.DAVA, *exchanges: int) -> None:
+    def announce_exchanges(
+        self, version: int = 1, kind: tuple[int, int] = m3ua.DAVA, *exchanges: int
+    ) -> None:
         """Sends list updates of the given kind for the given exchanges (default: all)."""
-        for code in exchanges or (1, *self.core.exchange_codes.values()):
-            self.core.receive_list_update(self.now, kind, [(0, code)], format_info(version, 0, 0))
+        for code in exchanges or (1, *self.call_server.exchange_codes.values()):
+            self.call_server.receive_list_update(self.now, kind, [(0, code)], format_info(version, 0, 0))
 
-    def give(self, point_code: int, message: IsupMessage) -> None:
+    def receive(self, point_code: int, message: IsupMessage) -> None:
         """Passes a message of a far end to the call server."""
         body = isup.encode(message)
         data = m3ua.Data(point_code, 1, m3ua.SI_ISUP, 2, 0, message.cic & 15, body)
-        self.core.receive_data(self.now, point_code, data)
+        self.call_server.receive_data(self.now, point_code, data)
 
-    def take(self, point_code: int) -> list[IsupMessage]:
+    def take_sent(self, point_code: int) -> list[IsupMessage]:
         """Returns the messages sent on a link since the last call, and forgets them."""
-        sent = list(self.wires[point_code].sent)
-        self.wires[point_code].sent.clear()
+        sent = list(self.links[point_code].sent)
+        self.links[point_code].sent.clear()
         return sent
 
     def advance(self, ms: float) -> None:
@@ -187,7 +191,7 @@
 
 
 # Parameters of an ACM.
-ACM = {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}
+ACM_PARAMETERS = {isup.BACKWARD_INDICATORS: isup.SUBSCRIBER_FREE}
 
 
 def rel(cic: int, cause: int, **user_words: int) -> IsupMessage:
--- a/ospreybridge/lab/measure.py
+++ b/ospreybridge/lab/measure.py
@@ -30,8 +30,8 @@
 from ospreybridge.settings.server import Peer, parse_cic_ranges
 from ospreybridge.signalling import isup, m3ua
 from ospreybridge.signalling.isup import IsupMessage
-from ospreybridge.standins.endpoint import Endpoint, Place
-from ospreybridge.standins.listservice import ListLink, TheList
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
+from ospreybridge.standins.listservice import ListLink, ListService
 
 HOLD_MS = 100.0  # between the answer and the caller's REL
 ACCESS_CIRCUITS = 1_900  # of the callers' group: enough for two seconds of calls at 900 a second
@@ -88,12 +88,12 @@
 
     setup_delays: HdrHistogram
 
-    def isup(self, message: IsupMessage) -> None:
+    def on_isup(self, message: IsupMessage) -> None:
         if message.type == isup.IAM:
             sent_at_us = int(isup.decode_calling_number(message.parameters[isup.CALLING_NUMBER]))
             elapsed_us = int(self.loop.clock() * 1e6) % CLOCK_PERIOD_US - sent_at_us
             self.setup_delays.record_value(max(1, elapsed_us))
-            self.send(IsupMessage(message.cic, isup.ACM, harness.ACM))
+            self.send(IsupMessage(message.cic, isup.ACM, harness.ACM_PARAMETERS))
             self.send(IsupMessage(message.cic, isup.ANM))
         elif message.type == isup.REL:
             self.send(IsupMessage(message.cic, isup.RLC))
@@ -140,7 +140,9 @@
     endpoints = []
     for n in range(2, exchanges + 1):
         server = Peer("cs1", "exchange", 1, 100 + n, 1, dial_address=("", 0), tls_name="cs1.test")
-        endpoints.append(AnsweringExchange(Place(loop, n, server, lambda: ("127.0.0.1", port), contexts)))
+        endpoints.append(
+            AnsweringExchange(EndpointConfig(loop, n, server, lambda: ("127.0.0.1", port), contexts))
+        )
         endpoints[-1].setup_delays = setup_delays
     limit_gc_pauses()
     loop.run()
@@ -175,7 +177,7 @@
         calling = f"{int(self.loop.clock() * 1e6) % CLOCK_PERIOD_US:012d}"
         self.send(harness.iam(cic, f"37{destination:03d}{self.started % 10_000:04d}", calling, left=9_000))
 
-    def isup(self, message: IsupMessage) -> None:
+    def on_isup(self, message: IsupMessage) -> None:
         if message.type == isup.ACM:
             self.loop.timers.schedule(self.loop.now + HOLD_MS, self._hang_up, message.cic)
         elif message.type == isup.REL:
@@ -253,9 +255,9 @@
     try:
         loop = EventLoop()
 
-        def endpoint_config(point_code: int, routing_context: int) -> Place:
+        def endpoint_config(point_code: int, routing_context: int) -> EndpointConfig:
             server = Peer("cs1", "exchange", 1, routing_context, 1, dial_address=("", 0), tls_name="cs1.test")
-            return Place(loop, point_code, server, lambda: ("127.0.0.1", port), contexts)
+            return EndpointConfig(loop, point_code, server, lambda: ("127.0.0.1", port), contexts)
 
         answering_process = subprocess.Popen(
             [
@@ -269,7 +271,7 @@
             stdout=subprocess.PIPE,
         )
         callers = PacedCallers(endpoint_config(2_000, 5))
-        list_service = TheList(loop, list(range(1, exchanges + 1)), (0.0, 1.0), 1)
+        list_service = ListService(loop, list(range(1, exchanges + 1)), (0.0, 1.0), 1)
         endpoints: list[Endpoint] = [callers, ListLink(endpoint_config(16_000, 9), list_service)]
         callers.prepare(exchanges)
         if not loop.run_until(lambda: all(endpoint.up for endpoint in endpoints), 20_000):
@@ -338,7 +340,9 @@
                     message = isup.decode(data_message.body)
                     reply_stream = streams[1 + message.cic % (exchanges - 1)]
                     if message.type == isup.IAM:
-                        reply_stream.write(encode_frame(IsupMessage(message.cic, isup.ACM, harness.ACM)))
+                        reply_stream.write(
+                            encode_frame(IsupMessage(message.cic, isup.ACM, harness.ACM_PARAMETERS))
+                        )
                         reply_stream.write(encode_frame(IsupMessage(message.cic, isup.ANM)))
                     elif message.type == isup.ANM:
                         loop.timers.schedule(loop.now + HOLD_MS, release, message.cic)
@@ -405,13 +409,17 @@
     """Measures the resident memory of an established call, in a call server without sockets."""
     exchanges = 62
     circuits = count // (exchanges - 1) * 34 // 31 + 64
-    bench = harness.Harness(harness.server(exchanges, circuits=circuits, access=count * 33 // 31 + 64))
-    bench.up()
-    bench.ready()
-    bench.keep = False
+    bench = harness.Harness(
+        harness.server_settings(exchanges, circuits=circuits, access=count * 33 // 31 + 64)
+    )
+    bench.activate_links()
+    bench.announce_exchanges()
+    bench.keep_sent = False
     sent: list[tuple[int, IsupMessage]] = []
-    bench.watch = lambda code, message: sent.append((code, message))
-    groups = [(peer.point_code, peer.cics) for peer in bench.core.settings.peers if peer.role == "callers"]
+    bench.on_sent = lambda code, message: sent.append((code, message))
+    groups = [
+        (peer.point_code, peer.cics) for peer in bench.call_server.settings.peers if peer.role == "callers"
+    ]
     access = [(code, cic) for code, cics in groups for cic in cics][:count]
     gc.collect()
     bytes_before = _resident_bytes()
@@ -419,14 +427,14 @@
         bench.advance(0.1)
         sent.clear()
         called = f"37{2 + serial % (exchanges - 1):03d}{serial % 10_000:04d}"
-        bench.give(code, harness.iam(cic, called, f"50{serial:08d}"))
+        bench.receive(code, harness.iam(cic, called, f"50{serial:08d}"))
         setups = [(far, m) for far, m in sent if m.type == isup.IAM]
         for far, message in setups:
-            bench.give(far, IsupMessage(message.cic, isup.ACM, harness.ACM))
-            bench.give(far, IsupMessage(message.cic, isup.ANM))
+            bench.receive(far, IsupMessage(message.cic, isup.ACM, harness.ACM_PARAMETERS))
+            bench.receive(far, IsupMessage(message.cic, isup.ANM))
     bench.advance(10_000)  # lets the timers of the set-ups run out
     gc.collect()
-    established = len(bench.core.calls)
+    established = len(bench.call_server.calls)
     bytes_per_call = (_resident_bytes() - bytes_before) / max(1, established)
     output(f"{established} standing calls: {bytes_per_call / 1_000:.2f} kB a call")
     return {"standing": established, "bytes_a_call": bytes_per_call}
--- a/ospreybridge/lab/onecall.py
+++ b/ospreybridge/lab/onecall.py
@@ -10,7 +10,7 @@
 from ospreybridge.signalling import causes, isup
 from ospreybridge.signalling.isup import IsupMessage
 from ospreybridge.standins.callers import FORWARD_PARAMETERS
-from ospreybridge.standins.endpoint import Endpoint, Place
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
 
 
 class OneCall(Endpoint):
@@ -31,7 +31,7 @@
         self.peer_names = {peer.point_code: peer.name for peer in settings.peers}
         self.started_at = 0.0
         self.cic = 0
-        self.stood = self.ended = False
+        self.established = self.ended = False
         server = Peer(
             settings.name,
             "exchange",
@@ -40,7 +40,9 @@
             dial_address=("", 0),
             cics=self.callers_peer.cics,
         )
-        super().__init__(Place(EventLoop(), self.callers_peer.point_code, server, lambda: settings.listen))
+        super().__init__(
+            EndpointConfig(EventLoop(), self.callers_peer.point_code, server, lambda: settings.listen)
+        )
 
     def run(self, timeout_ms: float, hold_ms: float) -> bool:
         """Makes the call, holds it and releases it; returns whether it was established."""
@@ -66,8 +68,8 @@
         }
         self.output(f"IAM to {self.settings.name} on circuit {self.cic}: {self.calling} calls {self.called}")
         self.send(IsupMessage(self.cic, isup.IAM, parameters))
-        loop.run_until(lambda: self.stood or self.ended, timeout_ms)
-        if self.stood and hold_ms:
+        loop.run_until(lambda: self.established or self.ended, timeout_ms)
+        if self.established and hold_ms:
             loop.run_until(lambda: self.ended, hold_ms)
         if not self.ended:
             self.send(
@@ -76,10 +78,10 @@
                 )
             )
             loop.run_until(lambda: self.ended, 2_000.0)
-        self.drop()
-        return self.stood
+        self.disconnect()
+        return self.established
 
-    def isup(self, message: IsupMessage) -> None:
+    def on_isup(self, message: IsupMessage) -> None:
         if message.cic != self.cic:
             return
         elapsed = f"{self.loop.now - self.started_at:8.1f} ms"
@@ -88,7 +90,7 @@
             carried_by = self.peer_names.get(user_words.get("via", -1), "the own office")
             tries = f", attempt {user_words['tries']}" if user_words.get("tries") else ""
             self.output(f"{elapsed}  {message.name}: the call stands, by {carried_by}{tries}")
-            self.stood = True
+            self.established = True
         elif message.type == isup.REL:
             cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
             retry_hint = f"; come back in {user_words['retry']} ms" if "retry" in user_words else ""
--- a/ospreybridge/lab/relay.py
+++ b/ospreybridge/lab/relay.py
@@ -31,10 +31,10 @@
 HANDSHAKE_SLOTS = 4_096  # handshakes at once; enough that the relay never refuses one
 BUSY_TURN_MS = 10.0  # longer loop turns are recorded: frames that arrive during them get late timestamps
 # Offsets in a DATA frame with a routing context: service indicator, CIC (two octets), ISUP message type.
-SERVICE, CIC_OFFSET, TYPE = 28, 32, 34
+SERVICE_INDICATOR_OFFSET, CIC_OFFSET, MESSAGE_TYPE_OFFSET = 28, 32, 34
 
 
-def _cic(frame: bytes) -> int:
+def _frame_cic(frame: bytes) -> int:
     return frame[CIC_OFFSET] | (frame[CIC_OFFSET + 1] & 15) << 8
 
 
@@ -110,7 +110,7 @@
         relay = self.relay
         if (
             relay.peer_message_loss
-            and frame[SERVICE] == m3ua.SI_SCCP
+            and frame[SERVICE_INDICATOR_OFFSET] == m3ua.SI_SCCP
             and relay.random.random() < relay.peer_message_loss
         ):
             try:
@@ -118,11 +118,15 @@
                 return isinstance(data, m3ua.Data) and sccp.decode(data.body)[0] == sccp.PEER_SUBSYSTEM
             except MessageError:
                 return False
-        if self.link.lost_circuits and len(frame) > TYPE and frame[TYPE] == isup.IAM:
+        if (
+            self.link.lost_circuits
+            and len(frame) > MESSAGE_TYPE_OFFSET
+            and frame[MESSAGE_TYPE_OFFSET] == isup.IAM
+        ):
             # The set-up crossed the loss of its circuit and is lost too; its sender receives RSC.
-            return _cic(frame) in self.link.lost_circuits
-        if self.link.expected_answers and len(frame) > TYPE:
-            key = (target, _cic(frame), frame[TYPE])
+            return _frame_cic(frame) in self.link.lost_circuits
+        if self.link.expected_answers and len(frame) > MESSAGE_TYPE_OFFSET:
+            key = (target, _frame_cic(frame), frame[MESSAGE_TYPE_OFFSET])
             if key in self.link.expected_answers:
                 self.link.expected_answers.discard(key)
                 return True
--- a/ospreybridge/lab/script.py
+++ b/ospreybridge/lab/script.py
@@ -22,11 +22,11 @@
     text,
 )
 from ospreybridge.settings.server import SERVER_SPEC
-from ospreybridge.standins.callers import Habits, Kind
+from ospreybridge.standins.callers import CallerBehaviour, CallKind
 from ospreybridge.standins.office import Processor
 
 # Kinds of trouble and their effects.
-KINDS = {
+TROUBLE_KINDS = {
     "hot-callers": "some exchanges originate `factor` times as many calls",
     "burst": "all exchanges originate `factor` times as many calls",
     "retry-abuse": "callers redial soon and often, and ignore the retry time of refusals",
@@ -113,7 +113,7 @@
             properties={"over-share-worth": ValueSpec(_SHARE, 1.0), "advice": ValueSpec(flag, True)}
         ),
         "trouble": NodeSpec(
-            ValueSpec(choice(*KINDS), required=True),
+            ValueSpec(choice(*TROUBLE_KINDS), required=True),
             {
                 "at": ValueSpec(_TIME_S, 0.0, True),
                 "for": ValueSpec(_TIME_S, 0.0),
@@ -156,11 +156,11 @@
     seed: int
     fleet: dict[str, Any]
     calls_per_s: float
-    habits: Habits
+    habits: CallerBehaviour
     processor: Processor
     list_delay_ms: tuple[float, float]
     centre_interval_ms: float
-    call_kinds: tuple[Kind, ...]
+    call_kinds: tuple[CallKind, ...]
     classes: tuple[ParsedNode, ...]
     tenants: tuple[ParsedNode, ...]
     rules: dict[str, Any]
@@ -233,7 +233,7 @@
         _properties(top, "rules"),
     )
     call_kinds = tuple(
-        Kind(
+        CallKind(
             node.argument,
             node["share"],
             node["category"],
@@ -252,15 +252,15 @@
         seed=day["seed"],
         fleet=fleet,
         calls_per_s=_properties(top, "traffic")["rate"] * speedup,
-        habits=Habits(
+        habits=CallerBehaviour(
             callers["patience"] / speedup,
             callers["redials"],
             callers["redial-after"] / speedup,
             callers["heeds"],
         ),
         processor=Processor(
-            setup=processor["setup"] / speedup,
-            release=processor["release"] / speedup,
+            setup_ms=processor["setup"] / speedup,
+            release_ms=processor["release"] / speedup,
             refuse_after=processor["refuse-after"] / speedup,
             cold_share=rules["cold-share"],
             warm_after=rules["warm-after"] / speedup,
--- a/ospreybridge/lab/tap.py
+++ b/ospreybridge/lab/tap.py
@@ -99,7 +99,7 @@
         self.section.new_member(InterfaceDescription, link_type=LINKTYPE_WIRESHARK_UPPER_PDU, snaplen=65_535)
         self.writer = FileWriter(self.file, self.section)
 
-    def note(self, at: float, source: int, target: int, frame: bytes) -> None:
+    def write(self, at: float, source: int, target: int, frame: bytes) -> None:
         """Appends one frame with its time `at` in milliseconds."""
         packet = self.section.new_member(EnhancedPacket)
         packet.timestamp = at / 1_000.0
--- a/ospreybridge/net/loop.py
+++ b/ospreybridge/net/loop.py
@@ -74,10 +74,10 @@
             self.worker.submit(value, lambda: self._resume(task))
         elif kind == READ:
             self.readers[int(value)] = task
-            self._mask(int(value))
+            self._update_registration(int(value))
         elif kind == WRITE:
             self.writers[int(value)] = task
-            self._mask(int(value))
+            self._update_registration(int(value))
         else:
             self.timers.schedule(self.now + value, lambda now: self._resume(task))
 
@@ -94,12 +94,12 @@
         if task is not None and not callable(task):
             self.writers.pop(fd, None)
             if fd in self.registered_masks:
-                self._mask(fd)
+                self._update_registration(fd)
             self._resume(task, TimedOut)
 
     # -- sockets
 
-    def _mask(self, fd: int) -> None:
+    def _update_registration(self, fd: int) -> None:
         mask = (select.EPOLLIN if fd in self.readers else 0) | (select.EPOLLOUT if fd in self.writers else 0)
         registered = self.registered_masks.get(fd)
         if registered is None:
@@ -111,7 +111,7 @@
     def when_writable(self, fd: int, callback: Callable[[], None]) -> None:
         """Calls back once, when the socket is writable."""
         self.writers[fd] = callback
-        self._mask(fd)
+        self._update_registration(fd)
 
     def unregister(self, fd: int) -> None:
         """Drops the socket and the tasks that wait for it; to be called before it is closed."""
@@ -135,7 +135,7 @@
                 if reader is not None:
                     self._resume(reader)
                     if fd not in self.readers and fd in self.registered_masks:
-                        self._mask(fd)
+                        self._update_registration(fd)
             if mask & (select.EPOLLOUT | select.EPOLLHUP | select.EPOLLERR):
                 writer = self.writers.pop(fd, None)
                 if writer is not None:
@@ -144,7 +144,7 @@
                     else:
                         self._resume(writer)
                 if fd in self.registered_masks:
-                    self._mask(fd)
+                    self._update_registration(fd)
         try:
             self.timers.run_due(self.now)
         except Exception as caught:  # as with a task; the remaining timers run in the next iteration
--- a/ospreybridge/policy.py
+++ b/ospreybridge/policy.py
@@ -112,13 +112,13 @@
     """What is known of one exchange (or pool): its trunk group from here and how it answers set-ups."""
 
     def __init__(self, entry: Entry) -> None:
-        self.office, self.cell, self.zone = entry.office, entry.exchange, entry.zone
-        self.state, self.started_at = entry.readiness, entry.started_at
+        self.office, self.number, self.zone = entry.office, entry.exchange, entry.zone
+        self.readiness, self.started_at = entry.readiness, entry.started_at
         # Circuits of the trunk group; until the first report the group counts as open.
         self.free, self.size, self.reserved = float("inf"), 0.0, 1.0
         # trickle_logged: a log line said that the window is below one; the next one will end that state.
         self.window, self.trickle_logged = INITIAL_WINDOW, False
-        self.pending: dict[tuple[int, int], float] = {}  # unanswered attempts: time of sending
+        self.unanswered: dict[tuple[int, int], float] = {}  # unanswered attempts: time of sending
         # Set-ups sent before narrowed_at don't narrow the window again; none is sent before resume_at.
         self.narrowed_at, self.resume_at = 0.0, 0.0
         # No overflow to this destination before overflow_at; turn_backs counts those in a row.
@@ -166,15 +166,15 @@
         self.settings, self.random = settings, Random(seed)
         self.mesh = settings.layout is Layout.MESH
         # The own exchange is on the path of every own set-up: its window bounds all of them together.
-        self.own = Exchange(Entry(-1, settings.own_exchange))
-        self.offices: dict[int, Exchange] = {}  # all listed exchanges, by office
-        self.ready: dict[int, Exchange] = {}  # those that accept calls, by exchange number
+        self.own_processor = Exchange(Entry(-1, settings.own_exchange))
+        self.exchanges: dict[int, Exchange] = {}  # all listed exchanges, by office
+        self.ready_exchanges: dict[int, Exchange] = {}  # those that accept calls, by exchange number
         self.calls: dict[int, Call] = {}  # from request to final answer and outcome, by reference
         self.waiting: dict[int, Call] = {}  # calls waiting for a route, by reference
         self.queues: dict[int, dict[int, Call]] = {}  # the same calls by destination
         self.queued_count = 0  # calls that ever began to wait; gives their order
         # By (call reference, attempt number): exchanges on the path, time of sending, destination.
-        self.legs: dict[tuple[int, int], tuple[list[Exchange], float, int]] = {}
+        self.attempts: dict[tuple[int, int], tuple[list[Exchange], float, int]] = {}
         # By (called number, destination, class): when a caller without service first tried.
         self.unserved_since: dict[tuple[int, int, int], float] = {}
         self.marks: dict[tuple[int, int], float] = {}  # (tandem, destination): end of the mark
@@ -210,7 +210,7 @@
         review_waiting = type(event) is Members or (type(event) is TimerExpired and event.label >= POLL_LABEL)
         for call in list(self.waiting.values()) if review_waiting else ():
             self._wait_or_end(now, call)
-        if self.dispatch_due and self.waiting and self._accepts_setup(now, self.own):
+        if self.dispatch_due and self.waiting and self._accepts_setup(now, self.own_processor):
             self._dispatch_waiting(now)
         self._schedule_poll()
         actions, self.actions = self.actions, []
@@ -225,36 +225,38 @@
                 StartTimer(POLL_LABEL + 1, self.settings.rules.ask_within * self.random.uniform(0.1, 0.3))
             )
             return
-        if not self.offices and self.mesh and self.settings.limits.peer_messages:
+        if not self.exchanges and self.mesh and self.settings.limits.peer_messages:
             self.actions.append(
                 StartTimer(POLL_LABEL + 2, self.on_time * self.random.random() + self.settings.tick)
             )
         listed, starting = {entry.office for entry in event.entries}, []
         for entry in event.entries:
-            exchange = self.offices.get(entry.office)
+            exchange = self.exchanges.get(entry.office)
             newly_started = exchange is None or (
                 entry.started_at != exchange.started_at and entry.readiness is Readiness.READY
             )
             if exchange is None:
                 exchange = Exchange(entry)
-                for old in self.offices.values():  # a new processor takes over the old one's trunk groups
-                    if old.cell == entry.exchange:
+                for old in self.exchanges.values():  # a new processor takes over the old one's trunk groups
+                    if old.number == entry.exchange:
                         exchange.free, exchange.size, exchange.reserved = old.free, old.size, old.reserved
                         exchange.warm_sends, exchange.warm_sends_at = old.warm_sends, old.warm_sends_at
-                self.offices[entry.office] = exchange
-            exchange.state, exchange.started_at, exchange.cell = (
+                self.exchanges[entry.office] = exchange
+            exchange.readiness, exchange.started_at, exchange.number = (
                 entry.readiness,
                 entry.started_at,
                 entry.exchange,
             )
             if newly_started:
                 starting.append(exchange)
-        self.offices = {
+        self.exchanges = {
             office: x
-            for office, x in self.offices.items()
-            if x.state is not Readiness.GONE and (office in listed or event.form is ListForm.DELTA)
+            for office, x in self.exchanges.items()
+            if x.readiness is not Readiness.GONE and (office in listed or event.form is ListForm.DELTA)
+        }
+        self.ready_exchanges = {
+            x.number: x for x in self.exchanges.values() if x.readiness is Readiness.READY
         }
-        self.ready = {x.cell: x for x in self.offices.values() if x.state is Readiness.READY}
         # All servers learn of a start at about the same time: a random delay spreads their first set-ups.
         for cold in starting:
             cold.window, cold.pace_factor, cold.pace_factor_at = INITIAL_WINDOW, 1.0, now
@@ -262,7 +264,7 @@
 
     def _update_circuits(self, now: float, event: Probed | Outcome) -> None:
         """Takes over the free circuits that a load report names."""
-        exchange, report = self.offices.get(event.office), event.report
+        exchange, report = self.exchanges.get(event.office), event.report
         if exchange is not None and report is not None and report.free is not None:
             self.dispatch_due = self.dispatch_due or report.free >= exchange.free
             exchange.free, exchange.size = report.free, report.size or 0.0
@@ -275,7 +277,9 @@
         tandems one by one. The message is seconds old when it is used; losing one does no harm.
         """
         full_mask = sum(
-            1 << x.cell for x in self.ready.values() if x.free < 1.0 + x.reserved and x.cell < 2_000
+            1 << x.number
+            for x in self.ready_exchanges.values()
+            if x.free < 1.0 + x.reserved and x.number < 2_000
         )
         body = self.settings.own_exchange.to_bytes(2, "little") + full_mask.to_bytes(
             full_mask.bit_length() // 8 + 1, "little"
@@ -291,7 +295,7 @@
     def _on_peer_message(self, now: float, event: PeerMessage) -> None:
         """Marks a tandem for the destinations it reported full; other messages are ignored."""
         sender, full_mask = int.from_bytes(event.body[:2], "little"), int.from_bytes(event.body[2:], "little")
-        for number in self.ready if len(event.body) > 2 and sender in self.ready else ():
+        for number in self.ready_exchanges if len(event.body) > 2 and sender in self.ready_exchanges else ():
             if full_mask >> number & 1:
                 self.marks[(sender, number)] = now + 1.5 * PEER_MESSAGE_INTERVAL_FRACTION * MARK_LIFETIME_MS
 
@@ -363,7 +367,7 @@
         It holds a circuit already, so it never waits. It yields to own calls that wait and can still be on
         time.
         """
-        dest = self.ready.get(call.request.dest)
+        dest = self.ready_exchanges.get(call.request.dest)
         call_waiting = any(now < x.on_time_until for x in self.queues.get(call.request.dest, {}).values())
         if (
             call_waiting
@@ -383,7 +387,7 @@
         no trunk group leads to the destination. Drawback: a call to an exchange that comes back within the
         caller's time gets there only by a redial.
         """
-        earliest_send, dest = max(now, call.not_before), self.ready.get(call.request.dest)
+        earliest_send, dest = max(now, call.not_before), self.ready_exchanges.get(call.request.dest)
         unsendable = dest is None or not self._retry_allowed(earliest_send, call, call.scope_exchange or dest)
         late_without_group = (
             dest and earliest_send >= call.on_time_until and max(dest.free, dest.size) < call.request.width
@@ -412,7 +416,11 @@
 
         `Refuse` invites a redial, so it is given only where a repeat is safe; otherwise the call gets `Fail`.
         """
-        ref, limits, dest = call.request.ref, self.settings.limits, self.ready.get(call.request.dest)
+        ref, limits, dest = (
+            call.request.ref,
+            self.settings.limits,
+            self.ready_exchanges.get(call.request.dest),
+        )
         self.calls.pop(ref, None)
         self._dequeue(ref)
         self._remember_unserved(now, call)
@@ -424,7 +432,7 @@
         )
         # The caller should return after as long as it waited in vain, or when the next set-up is allowed.
         retry_wait = (
-            max(now - call.arrived_at, dest.resume_at - now, self.own.resume_at - now)
+            max(now - call.arrived_at, dest.resume_at - now, self.own_processor.resume_at - now)
             if dest
             else float("inf")
         )
@@ -451,7 +459,7 @@
         if call.call_class.retry_scope is RetryScope.ZONE:
             return exchange.zone == call.scope_exchange.zone
         return call.call_class.retry_scope is RetryScope.ALL or (
-            exchange.cell == call.scope_exchange.cell and exchange.cell in self.ready
+            exchange.number == call.scope_exchange.number and exchange.number in self.ready_exchanges
         )
 
     def _on_caller_left(self, now: float, event: CallerLeft) -> None:
@@ -470,7 +478,7 @@
         """Rank of a waiting call, higher first; where circuits are short it is the worth per circuit time."""
         call_class = call.call_class
         worth = call.tenant_factor * call_class.importance
-        dest = self.ready.get(call.request.dest)
+        dest = self.ready_exchanges.get(call.request.dest)
         if dest is None or not self._has_circuits(dest, call, True):
             worth *= self.min_circuit_time / (call.request.width * max(1.0, call_class.hold))
         if call.request.after_cut:
@@ -482,7 +490,7 @@
     def _accepts_setup(self, now: float, exchange: Exchange) -> bool:
         """Whether the exchange's gap is over and its window has room for one more set-up."""
         return now >= exchange.resume_at and (
-            not exchange.pending or len(exchange.pending) + 1 <= exchange.window
+            not exchange.unanswered or len(exchange.unanswered) + 1 <= exchange.window
         )
 
     def _usual_interval(self, now: float, exchange: Exchange | None = None) -> float:
@@ -490,7 +498,7 @@
 
         For the own exchange it is the interval between any two own set-ups.
         """
-        exchanges_per_send = (len(self.offices) if exchange is not self.own else 1) / (
+        exchanges_per_send = (len(self.exchanges) if exchange is not self.own_processor else 1) / (
             len(self.recent_sends) + 1
         )
         return min(
@@ -537,19 +545,19 @@
         """Sends waiting calls that have a route, the most worthy first."""
         open_tandems = [
             x
-            for x in self.ready.values()
+            for x in self.ready_exchanges.values()
             if x.free >= 1.0 + x.reserved
             and self._accepts_setup(now, x)
-            and x.cell != self.settings.own_exchange
+            and x.number != self.settings.own_exchange
         ]
         candidates = []
         for number, queue in self.queues.items():
-            dest = self.ready.get(number)
+            dest = self.ready_exchanges.get(number)
             if dest is None or not self._accepts_setup(now, dest):
                 continue
             overflow_possible = now >= dest.overflow_at and (
                 not self.mesh
-                or any(x is not dest and self.marks.get((x.cell, number), 0.0) <= now for x in open_tandems)
+                or any(x is not dest and self.marks.get((x.number, number), 0.0) <= now for x in open_tandems)
             )
             if dest.free >= 1.0 or overflow_possible:  # else no call has a route there
                 candidates += [
@@ -565,10 +573,10 @@
         # By destination: width of a call that found no route just now; none as wide is tried again.
         blocked_width: dict[int, float] = {}
         for call in sorted(candidates, key=lambda queued: (-self._worth(now, queued), queued.queue_order)):
-            if not self._accepts_setup(now, self.own):
+            if not self._accepts_setup(now, self.own_processor):
                 return
-            dest = self.ready[call.request.dest]
-            if call.request.width < blocked_width.get(dest.cell, float("inf")) and self._accepts_setup(
+            dest = self.ready_exchanges[call.request.dest]
+            if call.request.width < blocked_width.get(dest.number, float("inf")) and self._accepts_setup(
                 now, dest
             ):
                 self._route(now, call, dest, short_of_circuits, open_tandems)
@@ -576,7 +584,7 @@
                     now < call.on_time_until and call.turn_backs < 2 and not call.maybe_executed and self.mesh
                 )
                 if unrestricted and call.request.ref in self.waiting:
-                    blocked_width[dest.cell] = call.request.width
+                    blocked_width[dest.number] = call.request.width
 
     def _route(
         self,
@@ -592,19 +600,19 @@
         unless no trunk group leads to its destination: there a tandem is the ordinary route.
         """
         past_on_time = now >= call.on_time_until
-        direct = dest.cell not in short_of_circuits and self._has_circuits(dest, call, past_on_time)
+        direct = dest.number not in short_of_circuits and self._has_circuits(dest, call, past_on_time)
         if direct and self._retry_allowed(now, call, dest):
             self._send(now, call, dest, [dest])
             return
-        short_of_circuits.add(dest.cell)
+        short_of_circuits.add(dest.number)
         if past_on_time or (call.turn_backs > 1 and dest.size) or now < dest.overflow_at:
             return
         tandems = [
             x
             for x in open_tandems
-            if x.cell != dest.cell
-            and (self.mesh or x.cell in call.call_class.allowed_pools)
-            and self.marks.get((x.cell, dest.cell), 0.0) <= now
+            if x.number != dest.number
+            and (self.mesh or x.number in call.call_class.allowed_pools)
+            and self.marks.get((x.number, dest.number), 0.0) <= now
             and self._accepts_setup(now, x)
             and self._has_circuits(x, call, True)
             and self._retry_allowed(now, call, x)
@@ -615,7 +623,7 @@
             # Only the first leg is visible here. After a turn-back the traffic centre's advice, though it is
             # late, says more about the second leg.
             if self.settings.route_advice and (call.turn_backs or dest.turn_backs > 1):
-                tandem = next((x for x in tandems if x.cell == call.request.via), tandem)
+                tandem = next((x for x in tandems if x.number == call.request.via), tandem)
             self._send(now, call, tandem, [tandem, dest] if self.mesh else [tandem])
 
     def _send(self, now: float, call: Call, next_exchange: Exchange, path: list[Exchange]) -> None:
@@ -628,15 +636,15 @@
             ON_TIME_TIMEOUT_FRACTION * (call.on_time_until - now) if in_time else call.answer_by,
         )
         key = (ref, call.attempt_count)
-        self.legs[key] = (path, now, call.request.dest)
-        self.own.pending[key] = now
+        self.attempts[key] = (path, now, call.request.dest)
+        self.own_processor.unanswered[key] = now
         for exchange in path:
             if exchange.window >= 1.0 and now >= exchange.started_at + self.settings.rules.warm_after:
                 exchange.warm_sends = 1.0 + exchange.warm_sends * 0.5 ** (
                     (now - exchange.warm_sends_at) / TRAFFIC_HALF_LIFE_MS
                 )
                 exchange.warm_sends_at = now
-            exchange.pending[key] = now
+            exchange.unanswered[key] = now
             exchange.resume_at = max(
                 exchange.resume_at, now + self._cold_gap(now, exchange) * self.random.uniform(0.5, 1.5)
             )
@@ -654,17 +662,17 @@
     def _on_established(self, now: float, event: Established) -> None:
         """Takes in that an attempt was answered and its call is established."""
         key = (event.ref, event.attempt)
-        if key not in self.legs:
+        if key not in self.attempts:
             return
-        path, _, dest = self.legs[key]
+        path, _, dest = self.attempts[key]
         call = self.calls.get(event.ref)
-        for exchange in (*path, self.own):
+        for exchange in (*path, self.own_processor):
             self._update_window(
                 now, exchange, key, event.elapsed, call.call_class.on_time if call else self.on_time, path
             )
         if len(path) > 1:
             path[1].turn_backs = 0
-            self.marks.pop((path[0].cell, dest), None)
+            self.marks.pop((path[0].number, dest), None)
         if call is not None:
             call.established = True
             self.usual_setup_time += (
@@ -687,17 +695,19 @@
         The rarer set-ups to it are, the more delay is tolerated, up to MAX_DELAY_TOLERANCE.
         """
         self.dispatch_due = True
-        sent_at = exchange.pending.pop(key, now)
+        sent_at = exchange.unanswered.pop(key, now)
         usual_interval = self._usual_interval(now, exchange)
         delay_target = on_time * (
             MAX_DELAY_TOLERANCE
-            if exchange is self.own
+            if exchange is self.own_processor
             else min(MAX_DELAY_TOLERANCE, max(1.0, usual_interval / self.on_time))
         )
         if elapsed <= GOOD_DELAY_FRACTION * delay_target:
             max_window = 1.0 + 2.0 * self.on_time / usual_interval
             max_window = (
-                max(INITIAL_WINDOW, max_window) if exchange is self.own else min(MAX_WINDOW, max_window)
+                max(INITIAL_WINDOW, max_window)
+                if exchange is self.own_processor
+                else min(MAX_WINDOW, max_window)
             )
             exchange.window = min(max_window, exchange.window + 1.0 / max(1.0, exchange.window))
             self._raise_cold_pace(now, exchange)
@@ -705,7 +715,7 @@
             self._narrow_window(now, exchange, sent_at, elapsed, path)
         if exchange.trickle_logged and exchange.window >= 1.0:
             exchange.trickle_logged = False
-            self.actions.append(Remark(f"exchange {exchange.cell}: answers set-ups in time again"))
+            self.actions.append(Remark(f"exchange {exchange.number}: answers set-ups in time again"))
 
     def _narrow_window(
         self, now: float, exchange: Exchange, sent_at: float, elapsed: float, path: list[Exchange]
@@ -722,17 +732,17 @@
         share no exchange, and while it is below one no other exchange is blamed. Drawback: a third of the
         exchanges silent at once slows the calls to the others too.
         """
-        if exchange is self.own:
+        if exchange is self.own_processor:
             may_be_one_exchange = not self.last_late_path or any(hop in self.last_late_path for hop in path)
             self.last_late_path = path
             if may_be_one_exchange:
                 return
-        elif self.own.window < 1.0:  # the own processor or all are slow
+        elif self.own_processor.window < 1.0:  # the own processor or all are slow
             return
         usual_interval = self._usual_interval(now, exchange)
         exchange.pace_factor, exchange.pace_factor_at = 1.0, now
         if sent_at >= exchange.narrowed_at:
-            factor = OWN_WINDOW_DECREASE_FACTOR if exchange is self.own else WINDOW_DECREASE_FACTOR
+            factor = OWN_WINDOW_DECREASE_FACTOR if exchange is self.own_processor else WINDOW_DECREASE_FACTOR
             exchange.window = max(
                 MIN_WINDOW, factor * min(exchange.window, 1.0 + self.on_time / usual_interval)
             )
@@ -741,7 +751,7 @@
             if not exchange.trickle_logged:
                 exchange.trickle_logged = True
                 self.actions.append(
-                    Remark(f"exchange {exchange.cell}: set-ups late or unanswered; a trickle only")
+                    Remark(f"exchange {exchange.number}: set-ups late or unanswered; a trickle only")
                 )
             gap = min(
                 max(self.on_time, MAX_GAP_FACTOR * usual_interval),
@@ -753,16 +763,16 @@
         """Takes in the end of an attempt: updates windows and marks, then retries the call or ends it."""
         self._update_circuits(now, event)
         key = (event.ref, event.attempt)
-        if key not in self.legs:
+        if key not in self.attempts:
             return
-        path, sent_at, dest = self.legs.pop(key)
-        was_established = key not in path[0].pending
+        path, sent_at, dest = self.attempts.pop(key)
+        was_established = key not in path[0].unanswered
         self.dispatch_due = self.dispatch_due or not was_established
-        for exchange in (*path, self.own):
-            exchange.pending.pop(key, None)
+        for exchange in (*path, self.own_processor):
+            exchange.unanswered.pop(key, None)
         result, note = event.result, event.note
         if result in (Result.TIMEOUT, Result.CONNECT_FAILED) and not was_established:
-            for exchange in (*path, self.own):
+            for exchange in (*path, self.own_processor):
                 self._narrow_window(now, exchange, sent_at, event.elapsed, path)
         elif result is Result.FULL and note is Note.PROCESSOR_FULL:
             # A full processor refuses fast. A gap derived from that delay would be so short that many servers
@@ -783,7 +793,7 @@
                     now, path[-1], sent_at, FULL_PROCESSOR_PAUSE_FRACTION * self.on_time, path
                 )
             elif len(path) > 1:
-                self.marks[(path[0].cell, dest)] = now + MARK_LIFETIME_MS
+                self.marks[(path[0].number, dest)] = now + MARK_LIFETIME_MS
                 # A mark covers one tandem. With dozens of tandems, the groups of all of them to a destination
                 # may be full, so turn-backs in a row pause overflow to it.
                 path[1].turn_backs += 1
@@ -793,8 +803,9 @@
                 )
                 path[1].overflow_at = now + gap * self.random.uniform(0.5, 1.5)
         elif result is Result.MOOT and note is Note.PROCESSOR_FULL:  # the own processor is down
-            self.own.resume_at = max(
-                self.own.resume_at, now + max(event.retry_after, FULL_PROCESSOR_PAUSE_FRACTION * self.on_time)
+            self.own_processor.resume_at = max(
+                self.own_processor.resume_at,
+                now + max(event.retry_after, FULL_PROCESSOR_PAUSE_FRACTION * self.on_time),
             )
         call = self.calls.get(event.ref)
         if call is None or call.attempt_count - 1 != event.attempt:
--- a/ospreybridge/standins/callers.py
+++ b/ospreybridge/standins/callers.py
@@ -11,7 +11,7 @@
 from ospreybridge.core.circuits import CircuitState, TrunkGroup
 from ospreybridge.signalling import isup
 from ospreybridge.signalling.isup import IsupMessage
-from ospreybridge.standins.endpoint import Endpoint, Place
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
 
 # Parameters that are the same in every IAM of a stand-in.
 FORWARD_PARAMETERS = {
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class CallKind:
     """A kind of call that callers make. Times in ms; `share` is relative to the other kinds.
 
     `category` is the calling party's category, `width` the number of circuits, `hold` the mean holding time.
@@ -37,24 +37,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class CallerBehaviour:
     """How long callers wait and how often they dial again. Times in ms."""
 
     patience: float = 3_300.0  # per try; the deadline of the class limits all tries together
     redials: int = 2
     redial_after: float = 800.0  # mean wait before a redial
-    heeds: float = 0.7  # share of callers who wait for the retry time that a refusal gives
+    heed_share: float = 0.7  # share of callers who wait for the retry time that a refusal gives
 
 
 class CallIntent:
     """One call that a caller wants to make, over all its tries (call intent of ITU-T E.600)."""
 
-    __slots__ = ("called", "calling", "cic", "first_try_at", "kind", "stood", "tries", "was_cut")
+    __slots__ = ("called", "calling", "cic", "established", "first_try_at", "kind", "tries", "was_cut")
 
-    def __init__(self, kind: Kind, calling: str, called: str, first_try_at: float) -> None:
+    def __init__(self, kind: CallKind, calling: str, called: str, first_try_at: float) -> None:
         self.kind, self.calling, self.called, self.first_try_at = kind, calling, called, first_try_at
         self.tries, self.cic = 0, 0
-        self.stood = self.was_cut = False
+        self.established = self.was_cut = False
 
 
 class Callers(Endpoint):
@@ -66,14 +66,14 @@
 
     def __init__(
         self,
-        config: Place,
-        habits: Habits,
+        config: EndpointConfig,
+        behaviour: CallerBehaviour,
         seed: int,
         tally: Counter[str],
         setup_delays: HdrHistogram,
     ) -> None:
-        self.habits, self.random, self.tally, self.setup_delays = (
-            habits,
+        self.behaviour, self.random, self.tally, self.setup_delays = (
+            behaviour,
             np.random.default_rng(seed),
             tally,
             setup_delays,
@@ -81,10 +81,10 @@
         self.group = TrunkGroup(
             "access", config.call_server.cics, config.point_code, config.call_server.point_code, set()
         )
-        self.on: dict[int, CallIntent] = {}
+        self.intent_by_circuit: dict[int, CallIntent] = {}
         self.tried_at: dict[int, float] = {}  # start of the current try, by circuit
         self.wide_call_circuits: dict[int, tuple[int, ...]] = {}  # all circuits of a wide call, by its first
-        self.quiet = False  # set at the end of a scripted day
+        self.redials_disabled = False  # set at the end of a scripted day
         super().__init__(config)
 
     def on_active(self) -> None:
@@ -95,16 +95,16 @@
     def on_inactive(self, reason: str) -> None:
         for circuit in self.group.circuits.values():
             self.group.set_state(circuit, CircuitState.DOWN)
-        intents, self.on = list(self.on.values()), {}
+        intents, self.intent_by_circuit = list(self.intent_by_circuit.values()), {}
         for intent in intents:
-            if intent.stood:
+            if intent.established:
                 self._count_cut(intent)
             else:
                 self._redial(intent, 0.0)
 
     # -- calls
 
-    def wish(self, kind: Kind, calling: str, called: str) -> None:
+    def place_call(self, kind: CallKind, calling: str, called: str) -> None:
         """Starts a new call intent with its first try."""
         self.tally["offered"] += 1
         self._try(self.loop.now, CallIntent(kind, calling, called, self.loop.now))
@@ -123,9 +123,9 @@
             self.wide_call_circuits[intent.cic] = cics
         else:
             self.wide_call_circuits.pop(intent.cic, None)
-        self.on[intent.cic] = intent
+        self.intent_by_circuit[intent.cic] = intent
         self.tried_at[intent.cic] = now
-        remaining = min(self.habits.patience, intent.first_try_at + intent.kind.deadline - now)
+        remaining = min(self.behaviour.patience, intent.first_try_at + intent.kind.deadline - now)
         user_words = {"left": max(1, int(remaining))}
         if intent.was_cut:
             user_words["cut"] = 1
@@ -144,13 +144,17 @@
         self.loop.timers.schedule(now + remaining, self._on_patience_end, intent, intent.tries)
 
     def _on_patience_end(self, now: float, intent: CallIntent, try_number: int) -> None:
-        if not intent.stood and intent.tries == try_number and self.on.get(intent.cic) is intent:
+        if (
+            not intent.established
+            and intent.tries == try_number
+            and self.intent_by_circuit.get(intent.cic) is intent
+        ):
             self.tally["given up"] += 1
             self._hang_up(now, intent)
             self._redial(intent, 0.0)
 
     def _hang_up(self, now: float, intent: CallIntent, cause: int = 16) -> None:
-        self.on.pop(intent.cic, None)
+        self.intent_by_circuit.pop(intent.cic, None)
         for cic in self._circuits(intent):
             self.group.set_state(self.group.circuits[cic], CircuitState.RELEASING)
         self.send(IsupMessage(intent.cic, isup.REL, {isup.CAUSE_INDICATORS: isup.encode_cause(cause, 0)}))
@@ -164,12 +168,12 @@
         No redial is scheduled when the redials are used up or the next try would begin after the deadline.
         `retry_after` is the wait in ms that the refusal asked for, 0 for none.
         """
-        wait = self.habits.redial_after * float(self.random.uniform(0.5, 1.5))
-        if retry_after and self.random.random() < self.habits.heeds:
+        wait = self.behaviour.redial_after * float(self.random.uniform(0.5, 1.5))
+        if retry_after and self.random.random() < self.behaviour.heed_share:
             wait = max(wait, retry_after * float(self.random.uniform(1.0, 1.2)))
         now = self.loop.now
         past_deadline = now + wait > intent.first_try_at + intent.kind.deadline
-        if intent.tries > self.habits.redials or past_deadline or self.quiet:
+        if intent.tries > self.behaviour.redials or past_deadline or self.redials_disabled:
             self.tally["unserved"] += 1
             return
         self.loop.timers.schedule(now + wait, self._try, intent)
@@ -177,12 +181,12 @@
     def _count_cut(self, intent: CallIntent) -> None:
         self.tally["cut"] += 1
 
-    def cut(self, share: float, return_within: float) -> int:
+    def cut_calls(self, share: float, return_within: float) -> int:
         """Releases a share of the established calls at once; their callers dial again, marked as cut.
 
         Each new call intent begins within `return_within` ms. Returns the number of calls cut.
         """
-        established = [intent for intent in self.on.values() if intent.stood]
+        established = [intent for intent in self.intent_by_circuit.values() if intent.established]
         chosen = [intent for intent in established if self.random.random() < share]
         for intent in chosen:
             self._hang_up(self.loop.now, intent, 41)  # 41: temporary failure
@@ -197,11 +201,11 @@
 
     # -- messages from the call server
 
-    def isup(self, message: IsupMessage) -> None:
-        intent = self.on.get(message.cic)
+    def on_isup(self, message: IsupMessage) -> None:
+        intent = self.intent_by_circuit.get(message.cic)
         now = self.loop.now
-        if message.type in (isup.ACM, isup.CON, isup.ANM) and intent is not None and not intent.stood:
-            intent.stood = True
+        if message.type in (isup.ACM, isup.CON, isup.ANM) and intent is not None and not intent.established:
+            intent.established = True
             elapsed = now - intent.first_try_at
             self.setup_delays.record_value(max(1, int((now - self.tried_at[message.cic]) * 1_000)))
             self.tally["in time" if elapsed <= intent.kind.on_time else "late"] += 1
@@ -211,13 +215,13 @@
             self.send(IsupMessage(message.cic, isup.RLC))
             if intent is None:
                 return
-            del self.on[message.cic]
+            del self.intent_by_circuit[message.cic]
             for cic in self._circuits(intent):
                 self.group.set_state(self.group.circuits[cic], CircuitState.IDLE)
             cause, _ = isup.decode_cause(message.parameters[isup.CAUSE_INDICATORS])
-            if intent.stood:
+            if intent.established:
                 # Not cut: normal clearing (16, 31), and releases by the call servers at the end of a day.
-                if cause not in (16, 31) and not self.quiet:
+                if cause not in (16, 31) and not self.redials_disabled:
                     self._count_cut(intent)
                 return
             self.tally[f"refused, cause {cause}"] += 1
@@ -230,7 +234,7 @@
                     self.group.set_state(circuit, CircuitState.IDLE)
 
     def _end_call(self, now: float, intent: CallIntent) -> None:
-        if self.on.get(intent.cic) is intent and self.up:
+        if self.intent_by_circuit.get(intent.cic) is intent and self.up:
             self._hang_up(now, intent)
 
     def on_supervision(self, message: IsupMessage) -> None:
--- a/ospreybridge/standins/centre.py
+++ b/ospreybridge/standins/centre.py
@@ -8,10 +8,10 @@
 
 from ospreybridge.net.loop import EventLoop
 from ospreybridge.signalling import m3ua, sccp
-from ospreybridge.standins.endpoint import Endpoint, Place
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
 
 
-class TheCentre:
+class TrafficCentre:
     """Keeps the last reported free circuits by exchange and far exchange, and sends advice periodically."""
 
     def __init__(self, loop: EventLoop, interval_ms: float) -> None:
@@ -50,8 +50,8 @@
 
     def __init__(
         self,
-        config: Place,
-        centre: TheCentre,
+        config: EndpointConfig,
+        centre: TrafficCentre,
         exchange_number: int,
     ) -> None:
         self.centre, self.exchange_number = centre, exchange_number
--- a/ospreybridge/standins/endpoint.py
+++ b/ospreybridge/standins/endpoint.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EndpointConfig:
     """Connection settings of an endpoint.
 
     `call_server` describes the call server as a peer of the endpoint; `get_address` returns the address it
@@ -37,7 +37,7 @@
 class Endpoint:
     """One association to `get_address()`, dialled again whenever it ends while `dial_enabled`."""
 
-    def __init__(self, config: Place) -> None:
+    def __init__(self, config: EndpointConfig) -> None:
         self.loop, self.point_code = config.loop, config.point_code
         self.call_server, self.get_address, self.tls_contexts = (
             config.call_server,
@@ -49,7 +49,7 @@
         self.stream: tcp.Stream | None = None
         self.dial_enabled = True
         self.last_dial_error = ""  # why the last dial failed
-        self.faults: list[str] = []  # messages of the call server that a real peer would reject
+        self.protocol_errors: list[str] = []  # messages of the call server that a real peer would reject
         self.loop.spawn(self._run())
 
     @property
@@ -91,18 +91,18 @@
                 for frame in splitter.feed(data):
                     association.receive(frame)
             except FrameError as error:
-                self.faults.append(str(error))
+                self.protocol_errors.append(str(error))
                 stream.close(str(error))
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """Closes the connection; it is dialled again while `dial_enabled`."""
         if self.stream is not None:
             self.stream.close("dropped")
 
-    def die(self) -> None:
+    def stop(self) -> None:
         """Closes the connection and dials no more."""
         self.dial_enabled = False
-        self.drop()
+        self.disconnect()
 
     def send(self, message: IsupMessage) -> None:
         """Sends an ISUP message, or drops it while the association is not active."""
@@ -117,7 +117,7 @@
     def on_inactive(self, reason: str) -> None:
         """Called when the association is lost; all its circuits are idle when it becomes active again."""
 
-    def isup(self, message: IsupMessage) -> None:
+    def on_isup(self, message: IsupMessage) -> None:
         """Called for each ISUP message that is not circuit supervision."""
 
     def on_other_data(self, data: m3ua.Data) -> None:
@@ -137,11 +137,11 @@
         try:
             message = isup.decode(data.body)
         except MessageError as error:
-            self.faults.append(str(error))
+            self.protocol_errors.append(str(error))
             raise
         answer_type = SUPERVISION_ANSWERS.get(message.type)
         if answer_type is None:
-            self.isup(message)
+            self.on_isup(message)
             return
         if message.type in (isup.RSC, isup.GRS):
             self.on_reset(message)
@@ -160,7 +160,7 @@
 
     def message_received(self, association: Association, message: m3ua.Message) -> None:
         if message.kind == m3ua.ERR:
-            self.faults.append(f"ERR {message.integer(m3ua.ERROR_CODE)}")
+            self.protocol_errors.append(f"ERR {message.integer(m3ua.ERROR_CODE)}")
 
     def unknown_identifier(self, association: Association, identifier: int) -> None:
         """Never called: an endpoint accepts no connections."""
@@ -169,8 +169,8 @@
         return False
 
     def close_association(self, association: Association, reason: str) -> None:
-        self.faults.append(reason)
-        self.drop()
+        self.protocol_errors.append(reason)
+        self.disconnect()
 
 
 # Supervision messages and the message type that acknowledges each.
--- a/ospreybridge/standins/listservice.py
+++ b/ospreybridge/standins/listservice.py
@@ -13,7 +13,7 @@
 from ospreybridge.core.exchange_list import format_info
 from ospreybridge.net.loop import EventLoop
 from ospreybridge.signalling import m3ua
-from ospreybridge.standins.endpoint import Endpoint, Place
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     version: int = 1
 
 
-class TheList:
+class ListService:
     """The exchange list. An update reaches each subscriber after a delay drawn from `delay_range_ms`."""
 
     def __init__(
@@ -40,7 +40,7 @@
         self.frozen = False  # no updates are sent, and audits are answered from `frozen_entries`
         self.frozen_entries: dict[int, ListEntry] = {}
 
-    def change(self, point_code: int, kind: tuple[int, int], started: bool = False) -> None:
+    def update(self, point_code: int, kind: tuple[int, int], started: bool = False) -> None:
         """Sets an exchange's state; `started` says that its processor was restarted just now."""
         self.version += 1
         old = self.entries[point_code]
@@ -54,7 +54,7 @@
                 delay = float(self.random.uniform(*self.delay_range_ms))
                 self.loop.timers.schedule(self.loop.now + delay, link.send_entry, entry)
 
-    def freeze(self, on: bool) -> None:
+    def set_frozen(self, on: bool) -> None:
         """Stops updates, as a service that hangs; when it ends, every subscriber gets the whole list."""
         if on:
             self.frozen_entries = dict(self.entries)
@@ -73,8 +73,8 @@
 
     def __init__(
         self,
-        config: Place,
-        service: TheList,
+        config: EndpointConfig,
+        service: ListService,
     ) -> None:
         self.service = service
         service.subscribers.append(self)
--- a/ospreybridge/standins/office.py
+++ b/ospreybridge/standins/office.py
@@ -9,7 +9,7 @@
 
 from ospreybridge.signalling import causes, isup
 from ospreybridge.signalling.isup import IsupMessage
-from ospreybridge.standins.endpoint import Endpoint, Place
+from ospreybridge.standins.endpoint import Endpoint, EndpointConfig
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,8 +20,8 @@
     `overload_factor` times the current capacity within `overload_for` ms crash it while it is cold.
     """
 
-    setup: float = 4.0
-    release: float = 0.5
+    setup_ms: float = 4.0
+    release_ms: float = 0.5
     refuse_after: float = 1_500.0  # queueing delay in ms above which set-ups are refused with a retry time
     cold_share: float = 0.3
     warm_after: float = 14_000.0
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        config: Place,
+        config: EndpointConfig,
         processor: Processor,
         seed: int,
     ) -> None:
         self.processor, self.random = processor, np.random.default_rng(seed)
-        self.slow, self.hung, self.fallen = 1.0, False, False
+        self.slowdown, self.hung, self.crashed_cold = 1.0, False, False
         self.started_at = -1e12  # when the processor last started
-        self.free_at = 0.0  # when the queued work is done
+        self.idle_at = 0.0  # when the queued work is done
         self.queue: deque[IsupMessage] = deque()
         self.circuit_states: dict[int, str] = {}  # "waiting" or "established", by circuit
         self.recent_setups: deque[float] = deque()
@@ -52,10 +52,10 @@
 
     def restart(self) -> None:
         """Replaces the processor by a cold one with no queue and no calls, and dials again."""
-        self.started_at, self.hung, self.fallen = self.loop.now, False, False
+        self.started_at, self.hung, self.crashed_cold = self.loop.now, False, False
         self.queue.clear()
         self.circuit_states.clear()
-        self.free_at = self.loop.now
+        self.idle_at = self.loop.now
         self.dial_enabled = True
 
     def capacity_share(self, now: float) -> float:
@@ -74,24 +74,24 @@
             self.recent_setups.popleft()
         share = self.capacity_share(now)
         max_setups = (
-            self.processor.overload_factor * share * self.processor.overload_for / self.processor.setup
+            self.processor.overload_factor * share * self.processor.overload_for / self.processor.setup_ms
         )
         return share < 1 and len(self.recent_setups) > max_setups + self.processor.setup_slack
 
     # -- calls
 
-    def isup(self, message: IsupMessage) -> None:
+    def on_isup(self, message: IsupMessage) -> None:
         now = self.loop.now
         if message.type == isup.IAM:
             if self._is_overloaded(now):
-                self.fallen = True
-                self.die()
+                self.crashed_cold = True
+                self.stop()
                 return
             if self.hung:
                 return
-            wait = max(0.0, self.free_at - now)
+            wait = max(0.0, self.idle_at - now)
             if wait > self.processor.refuse_after:
-                self._add_work(self.processor.setup / 4)  # a refusal takes less work than a set-up
+                self._add_work(self.processor.setup_ms / 4)  # a refusal takes less work than a set-up
                 parameters = {
                     isup.CAUSE_INDICATORS: isup.encode_cause(causes.CONGESTION, causes.LOCATION_USER),
                     isup.CONGESTION_LEVEL: b"\x02",
@@ -100,16 +100,16 @@
                 self.send(IsupMessage(message.cic, isup.REL, parameters))
                 return
             self.circuit_states[message.cic] = "waiting"
-            self._add_work(self.processor.setup)
-            self.loop.timers.schedule(self.free_at, self._answer, message.cic, self.started_at)
+            self._add_work(self.processor.setup_ms)
+            self.loop.timers.schedule(self.idle_at, self._answer, message.cic, self.started_at)
         elif message.type == isup.REL:
             self.circuit_states.pop(message.cic, None)
-            self._add_work(self.processor.release)
+            self._add_work(self.processor.release_ms)
             self.send(IsupMessage(message.cic, isup.RLC))
 
     def _add_work(self, mean_ms: float) -> None:
-        duration = self.random.gamma(4.0, mean_ms / 4.0) * self.slow / self.capacity_share(self.loop.now)
-        self.free_at = max(self.free_at, self.loop.now) + duration
+        duration = self.random.gamma(4.0, mean_ms / 4.0) * self.slowdown / self.capacity_share(self.loop.now)
+        self.idle_at = max(self.idle_at, self.loop.now) + duration
 
     def _answer(self, now: float, cic: int, started_at: float) -> None:
         if (
--- a/ospreybridge/standins/platform.py
+++ b/ospreybridge/standins/platform.py
@@ -19,10 +19,10 @@
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
-        self.sock = tcp.listen(("127.0.0.1", 0))
-        self.port = int(self.sock.getsockname()[1])
+        self.listener = tcp.listen(("127.0.0.1", 0))
+        self.port = int(self.listener.getsockname()[1])
         self.streams: list[tcp.Stream] = []
-        loop.spawn(tcp.accept_connections(loop, self.sock, self._on_accept))
+        loop.spawn(tcp.accept_connections(loop, self.listener, self._on_accept))
 
     def _on_accept(self, sock: socket.socket) -> None:
         stream = tcp.Stream(self.loop, sock)
@@ -47,24 +47,24 @@
     """
 
     def __init__(self, loop: EventLoop, events: list[frames.Frame]) -> None:
-        self.events, self.asked, self.mute = events, list[int](), False
+        self.events, self.requested_after, self.silent = events, list[int](), False
         super().__init__(loop)
         loop.spawn(self._send_heartbeats())
 
     def on_data(self, stream: tcp.Stream, data: bytes) -> None:
         (after,) = frames.REQUEST.unpack(data)
-        self.asked.append(after)
+        self.requested_after.append(after)
         stream.write(b"".join(frames.encode(event) for event in self.events if event.number > after))
 
-    def tell(self, event: frames.Frame) -> None:
+    def publish(self, event: frames.Frame) -> None:
         """Appends an event and sends it on all connections."""
         self.events.append(event)
         for stream in self.streams:
             stream.write(frames.encode(event))
 
     def _send_heartbeats(self) -> Task:
-        while not self.sock._closed:  # type: ignore[attr-defined]
-            for stream in self.streams if not self.mute else ():
+        while not self.listener._closed:  # type: ignore[attr-defined]
+            for stream in self.streams if not self.silent else ():
                 stream.write(frames.encode(frames.Frame(self.events[-1].number, frames.NO_CHANGES)))
             yield "sleep", 250.0
 
@@ -76,35 +76,35 @@
     """
 
     def __init__(self, loop: EventLoop, size: int = 20) -> None:
-        self.size, self.spoil, self.mute = size, b"", False
+        self.size, self.malformed_answer, self.silent = size, b"", False
         self.splitters: dict[int, jsonl.Splitter] = {}
-        self.stands: dict[str, tcp.Stream] = {}
-        self.asked: list[str] = []
+        self.established: dict[str, tcp.Stream] = {}
+        self.launched: list[str] = []
         super().__init__(loop)
 
     def on_data(self, stream: tcp.Stream, data: bytes) -> None:
         for line in self.splitters.setdefault(id(stream), jsonl.Splitter()).feed(data):
             message = jsonl.decode(line)
             if message.kind == jsonl.LAUNCH:
-                self.asked.append(message.uid)
+                self.launched.append(message.uid)
                 self._launch(stream, message)
             elif message.kind == jsonl.STOP:
-                self.stands.pop(message.uid, None)
+                self.established.pop(message.uid, None)
 
     def _launch(self, stream: tcp.Stream, message: Message) -> None:
-        if self.spoil:
-            stream.write(self.spoil)
-            self.spoil = b""
-        elif not self.mute:
-            self.stands[message.uid] = stream
-            load = f"free:{self.size - len(self.stands)};size:{self.size}"
+        if self.malformed_answer:
+            stream.write(self.malformed_answer)
+            self.malformed_answer = b""
+        elif not self.silent:
+            self.established[message.uid] = stream
+            load = f"free:{self.size - len(self.established)};size:{self.size}"
             stream.write(
                 jsonl.encode(Message(jsonl.RUNNING, message.uid, {"load": load}, body=f"of {message.uid}"))
             )
 
     def release(self, uid: str) -> None:
         """Ends an established call from the office's side."""
-        self.stands.pop(uid).write(jsonl.encode(Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING)))
+        self.established.pop(uid).write(jsonl.encode(Message(jsonl.STOP, uid, {}, causes.NORMAL_CLEARING)))
 
 
 class CallerStandIn:
@@ -114,7 +114,7 @@
         sock = socket.create_connection(("127.0.0.1", port), timeout=5.0)
         self.stream = tcp.Stream(loop, sock)
         self.answers: dict[str, deque[Message]] = {}
-        self.gone = False
+        self.closed = False
         loop.spawn(self._read())
 
     def _read(self) -> Task:
@@ -124,7 +124,7 @@
                 message = jsonl.decode(line)
                 self.answers.setdefault(message.uid, deque()).append(message)
         self.stream.close("the far end closed")
-        self.gone = True
+        self.closed = True
 
     def launch(self, uid: str, dest: int, remaining_ms: int = 1_500) -> None:
         """Sends a call to exchange `dest`; `remaining_ms` is the time left for its set-up."""
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -23,12 +23,12 @@
 from ospreybridge.net.tls import TlsContexts
 from ospreybridge.settings.server import Peer, ServerSettings, load, parse_cic_ranges
 from ospreybridge.signalling.isup import IsupMessage
-from ospreybridge.standins.callers import Callers, Habits, Kind
-from ospreybridge.standins.endpoint import Place
-from ospreybridge.standins.listservice import ListLink, TheList
+from ospreybridge.standins.callers import CallerBehaviour, Callers, CallKind
+from ospreybridge.standins.endpoint import EndpointConfig
+from ospreybridge.standins.listservice import ListLink, ListService
 from ospreybridge.standins.office import Office, Processor
 
-LOOKUP = Kind("lookup", 1.0, 10, 1, 2_000.0, 9_000.0, 60_000.0)
+LOOKUP = CallKind("lookup", 1.0, 10, 1, 2_000.0, 9_000.0, 60_000.0)
 SETTINGS_TEMPLATE = """
 exchange "cs{n}" number={n} point-code={n} listen="127.0.0.1:0" {{ prefix "37{n}"; }}
 {peers}
@@ -74,7 +74,7 @@
         self.call_servers: dict[int, CallServer] = {}
         self.fronts: dict[int, M3uaFront] = {}
         self.ports: dict[int, int] = {}
-        self.exchange_list = TheList(self.loop, list(range(1, size + 1)), (0.0, 1.0), 1)
+        self.exchange_list = ListService(self.loop, list(range(1, size + 1)), (0.0, 1.0), 1)
         self.offices: dict[int, Office] = {}
         self.callers: dict[int, Callers] = {}
         for n in range(size, 0, -1):  # the higher numbers listen before the lower ones dial
@@ -128,7 +128,7 @@
     def kill(self, n: int) -> None:
         """Simulates a crash: all sockets close without a release, and the state is lost."""
         front = self.fronts[n]
-        front.core = CallServer(
+        front.call_server = CallServer(
             front.settings, type(self.loop.timers)()
         )  # later events reach an unused call server
         front.stop_listening()
@@ -136,17 +136,19 @@
             channel.stream.close("killed")
 
     def _attach_standins(self, n: int) -> None:
-        def place(code: int, context: int, size: int = 0) -> Place:
+        def place(code: int, context: int, size: int = 0) -> EndpointConfig:
             cics = parse_cic_ranges([f"1-{size}"]) if size else ()
             server = Peer(
                 f"cs{n}", "exchange", n, context, dial_address=("", 0), cics=cics, tls_name=f"cs{n}.test"
             )
             contexts = self.standin_contexts if self.authority else None
-            return Place(self.loop, code, server, lambda: ("127.0.0.1", self.ports[n]), contexts)
+            return EndpointConfig(self.loop, code, server, lambda: ("127.0.0.1", self.ports[n]), contexts)
 
         office, callers, delays = 1_000 + n, 2_000 + n, HdrHistogram(1, 60_000_000, 3)
-        self.offices[n] = Office(place(office, office, 60), Processor(setup=0.5, release=0.1), n)
-        self.callers[n] = Callers(place(callers, callers, 90), Habits(redials=0), n, self.tally, delays)
+        self.offices[n] = Office(place(office, office, 60), Processor(setup_ms=0.5, release_ms=0.1), n)
+        self.callers[n] = Callers(
+            place(callers, callers, 90), CallerBehaviour(redials=0), n, self.tally, delays
+        )
         ListLink(place(16_000, 9), self.exchange_list)
 
     def run_until(self, condition: Callable[[], bool], within: float = 8_000.0) -> None:
@@ -183,7 +185,7 @@
 
     def call(self, origin: int, dest: int, serial: int) -> None:
         """Has a caller of exchange `origin` call a number of exchange `dest`."""
-        self.callers[origin].wish(LOOKUP, f"50{serial:06d}", f"37{dest}{serial:04d}")
+        self.callers[origin].place_call(LOOKUP, f"50{serial:06d}", f"37{dest}{serial:04d}")
 
     def all_circuits_free(self) -> bool:
         """Whether every circuit of every trunk group is free at both ends."""
@@ -194,9 +196,9 @@
     def hang_up_all(self) -> None:
         """Has the callers release all established calls."""
         for callers in self.callers.values():
-            for wish in list(callers.on.values()):
-                if wish.stood:
-                    callers._hang_up(self.loop.now, wish)
+            for intent in list(callers.intent_by_circuit.values()):
+                if intent.established:
+                    callers._hang_up(self.loop.now, intent)
 
 
 def standin_contexts(folder: Path, file: str = "standins", allow_12: bool = False) -> TlsContexts:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -37,7 +37,7 @@
     rig.office_sends(connection, "running", uid, body="a second copy")
     rig.office_sends(connection, "stop", uid, causes.NORMAL_CLEARING)
     assert [message.kind for message in rig.messages_of(uid, client)] == ["running", "stop"]
-    assert not rig.server.established and not rig.server.calls_by_ref and rig.server.controller.legs == {}
+    assert not rig.server.established and not rig.server.calls_by_ref and rig.server.controller.attempts == {}
 
 
 def test_refusal_is_sent_at_once_with_a_retry_time() -> None:
@@ -134,7 +134,7 @@
 def test_set_ups_share_connections_only_at_the_connection_limit() -> None:
     rig = Rig(limits={"cores": 1.0, "memory_mb": 64, "sockets": 38})
     client = rig.connect_client()
-    rig.server.controller.ready[1].window = rig.server.controller.own.window = 50.0
+    rig.server.controller.ready_exchanges[1].window = rig.server.controller.own_processor.window = 50.0
     uids = [rig.launch(client) for _ in range(8)]
     rig.accept_dials()
     used = Counter(rig.set_up_connection(uid) for uid in uids)
@@ -465,11 +465,11 @@
     controller = rig.server.controller
     for connection in connections:
         rig.office_sends(connection, "usage", "", load="free:7;size:20")
-    assert controller.offices[11].free == 7.0
+    assert controller.exchanges[11].free == 7.0
     rig.office_sends(connections[0], "usage", "", load="free:8;size:20")
     # The earlier update, delayed on the other connection.
     rig.office_sends(connections[1], "usage", "", load="free:7;size:20")
-    assert controller.offices[11].free == 8.0
+    assert controller.exchanges[11].free == 8.0
 
 
 def test_list_events_apply_in_order_and_invalid_ones_not_at_all() -> None:
@@ -555,15 +555,15 @@
     rig = Rig()
     client = rig.connect_client()
     uid = rig.launch(client)
-    assert rig.server.controller.offices[11].free == 19.0
+    assert rig.server.controller.exchanges[11].free == 19.0
     rig.office_sends(
         rig.set_up_connection(uid), "stop", uid, causes.TIMER_EXPIRY, note="queue_long", waited="900"
     )
-    assert rig.server.controller.offices[11].free == 20.0
+    assert rig.server.controller.exchanges[11].free == 20.0
     rig = Rig()
     uid = rig.launch(rig.connect_client())
     rig.office_sends(rig.set_up_connection(uid), "stop", uid, causes.TIMER_EXPIRY, note="no_path")
-    assert rig.server.controller.offices[11].free == 0.0  # the note is newer than the last load update
+    assert rig.server.controller.exchanges[11].free == 0.0  # the note is newer than the last load update
 
 
 class CallMachine(RuleBasedStateMachine):
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -64,7 +64,7 @@
     created.loop.close()
     for place in (*created.offices, created.journal):
         with contextlib.suppress(OSError):
-            place.sock.close()
+            place.listener.close()
 
 
 def test_calls_are_established_and_end(world: World) -> None:
@@ -74,7 +74,7 @@
     world.until(lambda: all(caller.kinds(uid) == ["running"] for uid in uids))
     assert all(caller.answers[uid][0].body == f"of {uid}" for uid in uids)
     for uid in uids:
-        next(x for x in world.offices if uid in x.stands).release(uid)
+        next(x for x in world.offices if uid in x.established).release(uid)
     world.until(lambda: all(caller.kinds(uid) == ["running", "stop"] for uid in uids))
     assert not front.server.established and not front.server.calls_by_ref
 
@@ -82,13 +82,13 @@
 def test_invalid_answer_costs_only_its_own_call_an_attempt(world: World) -> None:
     front = world.start_server()
     caller = CallerStandIn(world.loop, front.port)
-    world.offices[1].mute = True
+    world.offices[1].silent = True
     held = world.set_up(caller)
-    world.until(lambda: world.offices[1].asked == [held])
-    world.offices[1].mute, world.offices[1].spoil = False, b"\x00\xff{{{\n"
+    world.until(lambda: world.offices[1].launched == [held])
+    world.offices[1].silent, world.offices[1].malformed_answer = False, b"\x00\xff{{{\n"
     retried = world.set_up(caller)
     world.until(lambda: caller.kinds(retried) == ["running"])
-    assert world.offices[1].asked.count(retried) == 2 and world.offices[1].asked.count(held) == 1
+    assert world.offices[1].launched.count(retried) == 2 and world.offices[1].launched.count(held) == 1
     assert front.server.counts["attempts reset"] == 1 and held in front.server.pending
 
 
@@ -106,7 +106,7 @@
     uids = [world.set_up(caller) for _ in range(5)]
     world.until(lambda: all(caller.kinds(uid) == ["running"] for uid in uids))
     world.until(lambda: len(front.server.clients) == 1)
-    assert not caller.gone
+    assert not caller.closed
     for sock in silent:
         sock.close()
 
@@ -117,7 +117,7 @@
         caller = CallerStandIn(world.loop, front.port)
         uid = world.set_up(caller, 9)
         caller.stream.write(b"not a message\n" + b"x" * 60_000)
-        world.until(lambda: caller.gone)  # noqa: B023
+        world.until(lambda: caller.closed)  # noqa: B023
         assert caller.kinds(uid) == ["stop"]
 
 
@@ -127,19 +127,19 @@
     half.stream.write(b'{"kind":"launch"')
     endless.stream.max_unsent_bytes = 1 << 24
     endless.stream.write(b"x" * (1 << 20))
-    world.until(lambda: endless.gone and half.gone)
+    world.until(lambda: endless.closed and half.closed)
     assert not front.server.clients
 
 
 def test_journal_connection_is_reopened_after_a_break_and_after_a_silence(world: World) -> None:
     front = world.start_server()
-    world.until(lambda: world.journal.asked == [1])
+    world.until(lambda: world.journal.requested_after == [1])
     world.journal.streams[0].close("breaks")
-    world.until(lambda: world.journal.asked == [1, 1])
-    world.journal.tell(frames.Frame(2, frames.CHANGES, (record(11, 1, frames.DRAINING),)))
+    world.until(lambda: world.journal.requested_after == [1, 1])
+    world.journal.publish(frames.Frame(2, frames.CHANGES, (record(11, 1, frames.DRAINING),)))
     world.until(lambda: front.server.office_list.last_number == 2)
-    world.journal.mute = True  # open but silent
-    world.until(lambda: world.journal.asked == [1, 1, 2])
+    world.journal.silent = True  # open but silent
+    world.until(lambda: world.journal.requested_after == [1, 1, 2])
 
 
 @contextlib.contextmanager
@@ -165,7 +165,7 @@
 ) -> None:
     path = tmp_path / "config.json"
     with process(world, path) as (child, port):
-        world.until(lambda: world.journal.asked == [1])
+        world.until(lambda: world.journal.requested_after == [1])
         tree = json.loads(path.read_text())
         path.write_text("{")
         child.send_signal(signal.SIGHUP)
@@ -173,7 +173,7 @@
         other = JournalService(world.loop, world.journal.events)
         path.write_text(json.dumps({**tree, "journal": f"127.0.0.1:{other.port}"}))
         child.send_signal(signal.SIGHUP)
-        world.until(lambda: other.asked == [1])
+        world.until(lambda: other.requested_after == [1])
         caller = CallerStandIn(world.loop, port)
         uid = world.set_up(caller)
         world.until(lambda: caller.kinds(uid) == ["running"])
@@ -186,9 +186,9 @@
         caller = CallerStandIn(world.loop, port)
         established = world.set_up(caller)
         world.until(lambda: caller.kinds(established) == ["running"])
-        world.offices[1].mute = True
+        world.offices[1].silent = True
         pending = world.set_up(caller, left=3_000)
-        world.until(lambda: pending in world.offices[1].asked)
+        world.until(lambda: pending in world.offices[1].launched)
         child.send_signal(signal.SIGTERM)
         world.until(lambda: b'"stopping"' in path.with_suffix(".log").read_bytes())
         world.offices[1].release(established)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -4,7 +4,7 @@
 
 from ospreybridge.lab import tap
 from ospreybridge.lab.checker import Checker, CheckerConfig, CheckResult
-from ospreybridge.lab.harness import ACM, iam, rel
+from ospreybridge.lab.harness import ACM_PARAMETERS, iam, rel
 from ospreybridge.lab.tap import Record
 from ospreybridge.signalling import causes, isup, m3ua
 from ospreybridge.signalling.isup import IsupMessage
@@ -57,8 +57,8 @@
 def test_a_normal_call_violates_no_rule() -> None:
     recording = (
         call_with_attempt()
-        .add_isup(50, 2, 1, IsupMessage(5, isup.ACM, ACM))
-        .add_isup(55, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        .add_isup(50, 2, 1, IsupMessage(5, isup.ACM, ACM_PARAMETERS))
+        .add_isup(55, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS))
     )
     recording.add_isup(900, CALLERS, 1, rel(1, 16)).add_isup(
         901, 1, CALLERS, IsupMessage(1, isup.RLC)
@@ -69,21 +69,21 @@
 def test_rule_1_missing_late_repeated_answers_and_attempts_after_the_final_one() -> None:
     unanswered = call_with_attempt().add_isup(9_000, CALLERS, 1, iam(2, "370020001", "502"))
     assert unanswered.check().violations_by_rule[1] == 2  # neither exchange answered
-    late = call_with_attempt().add_isup(3_200, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+    late = call_with_attempt().add_isup(3_200, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS))
     assert sorted(text.split(": ", 1)[1] for text in late.check().violations) == [
         "exchange 1: 501 155 ms late",
         "exchange 2 never answered the call of 501",
     ]
     twice = (
         call_with_attempt()
-        .add_isup(50, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
-        .add_isup(60, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        .add_isup(50, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS))
+        .add_isup(60, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS))
     )
     assert twice.check().violations_by_rule[1] == 1
     answer_after_rel = (
         call_with_attempt()
         .add_isup(50, 1, CALLERS, rel(1, 34))
-        .add_isup(70, 1, CALLERS, IsupMessage(1, isup.ACM, ACM))
+        .add_isup(70, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS))
     )
     assert answer_after_rel.check().violations_by_rule[1] == 1
     attempt_after_rel = (
@@ -100,7 +100,7 @@
     dual_seizure = Recording().add_isup(0, CALLERS, 1, iam(1, "370020001", "501", left=3_000))
     dual_seizure.add_isup(5, 1, 2, iam(4, "370020001", "501")).add_isup(6, 2, 1, iam(4, "370010001", "601"))
     dual_seizure.add_isup(9, 1, 3, iam(7, "370020001", "501")).add_isup(
-        40, 1, CALLERS, IsupMessage(1, isup.ACM, ACM)
+        40, 1, CALLERS, IsupMessage(1, isup.ACM, ACM_PARAMETERS)
     )
     assert dual_seizure.check().violations_by_rule[2] == 0  # exchange 2 controls the even circuits
 
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -10,7 +10,16 @@
 
 from ospreybridge.core.circuits import CircuitState, TrunkGroup, contiguous_ranges
 from ospreybridge.interface import Action, Event, Request
-from ospreybridge.lab.harness import ACM, CALLERS, CENTRE, OFFICE, Harness, iam, rel, server
+from ospreybridge.lab.harness import (
+    ACM_PARAMETERS,
+    CALLERS_CODE_BASE,
+    CENTRE_POINT_CODE,
+    OFFICE_CODE_BASE,
+    Harness,
+    iam,
+    rel,
+    server_settings,
+)
 from ospreybridge.settings.server import Peer
 from ospreybridge.signalling import causes, isup, m3ua, sccp
 from ospreybridge.signalling.isup import IsupMessage
@@ -20,83 +29,83 @@
 
 @pytest.fixture
 def h() -> Harness:
-    harness = Harness(server(4, circuits=4))
-    harness.up()
-    harness.ready()
+    harness = Harness(server_settings(4, circuits=4))
+    harness.activate_links()
+    harness.announce_exchanges()
     return harness
 
 
 def take_one(h: Harness, point_code: int, kind: int) -> IsupMessage:
-    found = [message for message in h.take(point_code) if message.type == kind]
+    found = [message for message in h.take_sent(point_code) if message.type == kind]
     assert len(found) == 1, f"{isup.NAMES[kind]}: {[m.name for m in found]}"
     return found[0]
 
 
 def test_a_direct_call_is_established_and_released_and_frees_every_circuit(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001", left=3_000))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001", left=3_000))
     set_up = take_one(h, 2, isup.IAM)
     assert isup.decode_called_number(set_up.parameters[isup.CALLED_NUMBER]) == "370020001"
-    assert h.core.groups[2].free == 3
-    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))
-    h.give(2, IsupMessage(set_up.cic, isup.ANM))
-    assert [m.type for m in h.take(CALLERS)] == [isup.ACM, isup.ANM]
-    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
-    take_one(h, CALLERS, isup.RLC)
+    assert h.call_server.groups[2].free == 3
+    h.receive(2, IsupMessage(set_up.cic, isup.ACM, ACM_PARAMETERS))
+    h.receive(2, IsupMessage(set_up.cic, isup.ANM))
+    assert [m.type for m in h.take_sent(CALLERS_CODE_BASE)] == [isup.ACM, isup.ANM]
+    h.receive(CALLERS_CODE_BASE, rel(1, causes.NORMAL_CLEARING))
+    take_one(h, CALLERS_CODE_BASE, isup.RLC)
     take_one(h, 2, isup.REL)
-    assert h.core.groups[2].free == 3  # taken until RLC
-    h.give(2, IsupMessage(set_up.cic, isup.RLC))
-    assert h.core.groups[2].free == 4 and not h.core.calls
+    assert h.call_server.groups[2].free == 3  # taken until RLC
+    h.receive(2, IsupMessage(set_up.cic, isup.RLC))
+    assert h.call_server.groups[2].free == 4 and not h.call_server.calls
 
 
 def test_a_wide_call_takes_two_circuits_and_names_them_if_they_are_not_adjacent() -> None:
-    h = Harness(server(3, circuits=4))
-    h.up()
-    h.ready()
+    h = Harness(server_settings(3, circuits=4))
+    h.activate_links()
+    h.announce_exchanges()
     for cic in (1, 3):
-        h.give(2, IsupMessage(cic, isup.BLO))
-    h.take(2)
-    h.give(CALLERS, iam(5, "370020001", width=2))
+        h.receive(2, IsupMessage(cic, isup.BLO))
+    h.take_sent(2)
+    h.receive(CALLERS_CODE_BASE, iam(5, "370020001", width=2))
     set_up = take_one(h, 2, isup.IAM)
     assert set_up.parameters[isup.MEDIUM_REQUIREMENT] == bytes((isup.TWO_TIMES_64,))
     assert isup.decode_circuit_map(set_up.cic, set_up.parameters[isup.CIRCUIT_ASSIGNMENT_MAP]) == (2, 4)
-    assert h.core.groups[2].free == 0
+    assert h.call_server.groups[2].free == 0
 
 
 def test_a_full_group_overflows_to_the_tandem_with_most_free_circuits(h: Harness) -> None:
     for cic in (1, 2, 3, 4):
-        h.give(2, IsupMessage(cic, isup.BLO))
-    h.give(3, IsupMessage(1, isup.BLO))
-    h.take(2)
-    h.give(CALLERS, iam(1, "370020001"))
-    assert take_one(h, 4, isup.IAM) and not h.take(2)
+        h.receive(2, IsupMessage(cic, isup.BLO))
+    h.receive(3, IsupMessage(1, isup.BLO))
+    h.take_sent(2)
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
+    assert take_one(h, 4, isup.IAM) and not h.take_sent(2)
 
 
 def test_an_unallocated_number_and_an_unequipped_circuit_are_refused_at_once(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "99"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "99"))
     assert (
-        isup.decode_cause(take_one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        isup.decode_cause(take_one(h, CALLERS_CODE_BASE, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.UNALLOCATED_NUMBER
     )
-    h.give(2, iam(9, "370010001"))
+    h.receive(2, iam(9, "370010001"))
     take_one(h, 2, isup.UCIC)
 
 
 def test_a_refusal_carries_the_redial_delay_and_the_congestion_level() -> None:
-    h = Harness(server(2, circuits=4))
-    h.up()
-    h.ready()
+    h = Harness(server_settings(2, circuits=4))
+    h.activate_links()
+    h.announce_exchanges()
 
     def refuse(code: int, message: IsupMessage) -> None:
         if message.type == isup.IAM:
             h.timers.schedule(
-                h.now + 20, lambda now: h.give(2, rel(message.cic, causes.CONGESTION, retry=900))
+                h.now + 20, lambda now: h.receive(2, rel(message.cic, causes.CONGESTION, retry=900))
             )
 
-    h.watch = refuse
-    h.give(CALLERS, iam(1, "370020001"))
+    h.on_sent = refuse
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
     h.advance(8_995)
-    assert len([m for m in h.take(2) if m.type == isup.IAM]) <= 4
-    answer = take_one(h, CALLERS, isup.REL)
+    assert len([m for m in h.take_sent(2) if m.type == isup.IAM]) <= 4
+    answer = take_one(h, CALLERS_CODE_BASE, isup.REL)
     assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.CONGESTION
     assert answer.parameters[isup.CONGESTION_LEVEL] == b"\2"
     assert 0 < isup.decode_user_words(answer.parameters[isup.USER_TO_USER])["retry"] <= 2_000
@@ -104,167 +113,171 @@
 
 def test_dual_seizure_on_every_circuit_at_once_loses_no_call() -> None:
     """Both ends seize all circuits of the group at the same time; each call ends up on exactly one route."""
-    h = Harness(server(4, circuits=6, access=60))
-    h.up()
-    h.ready()
+    h = Harness(server_settings(4, circuits=6, access=60))
+    h.activate_links()
+    h.announce_exchanges()
     for n in range(6):
-        h.give(CALLERS, iam(1 + n, "370020001", f"50{n}"))
-    set_ups = [m for m in h.take(2) if m.type == isup.IAM]
-    assert len(set_ups) == 4 and h.core.groups[2].free == 2  # limited by the window; two circuits are left
+        h.receive(CALLERS_CODE_BASE, iam(1 + n, "370020001", f"50{n}"))
+    set_ups = [m for m in h.take_sent(2) if m.type == isup.IAM]
+    assert (
+        len(set_ups) == 4 and h.call_server.groups[2].free == 2
+    )  # limited by the window; two circuits are left
     for cic in (m.cic for m in set_ups):
-        h.give(2, iam(cic, "370010001", f"60{cic}"))  # the far end's IAM crossed ours
-    won = [m.cic for m in set_ups if h.core.groups[2].controls(m.cic)]
+        h.receive(2, iam(cic, "370010001", f"60{cic}"))  # the far end's IAM crossed ours
+    won = [m.cic for m in set_ups if h.call_server.groups[2].controls(m.cic)]
     lost = [m.cic for m in set_ups if m.cic not in won]
     assert lost, "exchange 1 has the lower point code and controls the odd circuits"
-    assert h.core.counts["dual seizure lost"] == len(lost)
-    assert h.core.counts["dual seizure won"] == len(won)
+    assert h.call_server.counts["dual seizure lost"] == len(lost)
+    assert h.call_server.counts["dual seizure won"] == len(won)
     # The far end's winning calls proceed to the own office.
-    assert len([m for m in h.take(OFFICE) if m.type == isup.IAM]) == len(lost)
-    for call in h.core.calls.values():
+    assert len([m for m in h.take_sent(OFFICE_CODE_BASE) if m.type == isup.IAM]) == len(lost)
+    for call in h.call_server.calls.values():
         assert call.outgoing_leg is None or call.outgoing_leg.call is call
     h.advance(20)
     legs = [
         call.outgoing_leg
-        for call in h.core.calls.values()
+        for call in h.call_server.calls.values()
         if call.outgoing_leg is not None and not call.terminates_here
     ]
     assert len({leg.cics for leg in legs}) == len(legs)
 
 
 def test_an_answer_after_the_caller_released_changes_nothing(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
     set_up = take_one(h, 2, isup.IAM)
-    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
-    assert [m.type for m in h.take(CALLERS)] == [isup.RLC]
+    h.receive(CALLERS_CODE_BASE, rel(1, causes.NORMAL_CLEARING))
+    assert [m.type for m in h.take_sent(CALLERS_CODE_BASE)] == [isup.RLC]
     take_one(h, 2, isup.REL)
-    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))  # crosses our REL
-    h.give(2, IsupMessage(set_up.cic, isup.ANM))
-    assert not h.take(CALLERS) and not h.core.calls
-    h.give(2, IsupMessage(set_up.cic, isup.RLC))
-    assert h.core.groups[2].free == 4
+    h.receive(2, IsupMessage(set_up.cic, isup.ACM, ACM_PARAMETERS))  # crosses our REL
+    h.receive(2, IsupMessage(set_up.cic, isup.ANM))
+    assert not h.take_sent(CALLERS_CODE_BASE) and not h.call_server.calls
+    h.receive(2, IsupMessage(set_up.cic, isup.RLC))
+    assert h.call_server.groups[2].free == 4
 
 
 def test_a_caller_release_that_crosses_the_answer_yields_one_final_answer(h: Harness) -> None:
     for first in ("answer", "release"):
-        h.give(CALLERS, iam(1, "370020001"))
+        h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
         set_up = take_one(h, 2, isup.IAM)
         steps = [
-            (2, IsupMessage(set_up.cic, isup.ACM, ACM)),
-            (CALLERS, rel(1, causes.NORMAL_CLEARING)),
+            (2, IsupMessage(set_up.cic, isup.ACM, ACM_PARAMETERS)),
+            (CALLERS_CODE_BASE, rel(1, causes.NORMAL_CLEARING)),
         ]
         for code, message in steps if first == "answer" else reversed(steps):
-            h.give(code, message)
-        sent = [m.type for m in h.take(CALLERS)]
+            h.receive(code, message)
+        sent = [m.type for m in h.take_sent(CALLERS_CODE_BASE)]
         assert sent == ([isup.ACM, isup.RLC] if first == "answer" else [isup.RLC])
         take_one(h, 2, isup.REL)
-        h.give(2, IsupMessage(set_up.cic, isup.RLC))
-        assert h.core.groups[2].free == 4 and not h.core.calls
+        h.receive(2, IsupMessage(set_up.cic, isup.RLC))
+        assert h.call_server.groups[2].free == 4 and not h.call_server.calls
 
 
 def test_a_timed_out_attempt_is_released_and_the_next_waits_for_the_release_time(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
     take_one(h, 2, isup.IAM)
     sent: list[tuple[float, int]] = []
-    h.watch = lambda code, message: sent.append((h.now, code)) if message.type == isup.IAM else None
+    h.on_sent = lambda code, message: sent.append((h.now, code)) if message.type == isup.IAM else None
     begun = h.now
     h.advance(2_100)
-    released = [m for m in h.take(2) if m.type == isup.REL]
+    released = [m for m in h.take_sent(2) if m.type == isup.REL]
     assert isup.decode_cause(released[0].parameters[isup.CAUSE_INDICATORS])[0] == causes.TIMER_EXPIRY
     h.advance(6_895)
-    final = [m for m in h.take(CALLERS) if m.type == isup.REL]
+    final = [m for m in h.take_sent(CALLERS_CODE_BASE) if m.type == isup.REL]
     assert len(final) == 1 and h.now - begun < 9_000
     assert all(at >= begun + 2_000 + 200 for at, _ in sent)
 
 
 def test_a_circuit_without_rlc_stays_taken_until_it_is_reset_by_timers(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
     set_up = take_one(h, 2, isup.IAM)
-    h.give(CALLERS, rel(1, causes.NORMAL_CLEARING))
+    h.receive(CALLERS_CODE_BASE, rel(1, causes.NORMAL_CLEARING))
     h.advance(299_000)
-    kinds = [m.type for m in h.take(2)]
+    kinds = [m.type for m in h.take_sent(2)]
     assert kinds.count(isup.REL) == 20 and isup.RSC not in kinds  # T1 every 15 s
     h.advance(20_000)
-    resets = [m.cic for m in h.take(2) if m.type == isup.RSC]
-    assert resets == [set_up.cic] * 2 and h.core.groups[2].free == 3  # RSC is repeated by T16
-    h.give(2, IsupMessage(set_up.cic, isup.RLC))
-    assert h.core.groups[2].free == 4
+    resets = [m.cic for m in h.take_sent(2) if m.type == isup.RSC]
+    assert resets == [set_up.cic] * 2 and h.call_server.groups[2].free == 3  # RSC is repeated by T16
+    h.receive(2, IsupMessage(set_up.cic, isup.RLC))
+    assert h.call_server.groups[2].free == 4
 
 
 def test_a_lost_link_ends_its_calls_and_its_circuits_are_reset_when_it_returns(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001", "501"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001", "501"))
     established = take_one(h, 2, isup.IAM)
-    h.give(2, IsupMessage(established.cic, isup.ACM, ACM))
-    h.give(CALLERS, iam(2, "370020001", "502"))
+    h.receive(2, IsupMessage(established.cic, isup.ACM, ACM_PARAMETERS))
+    h.receive(CALLERS_CODE_BASE, iam(2, "370020001", "502"))
     take_one(h, 2, isup.IAM)
-    h.take(CALLERS)
-    h.core.link_down(h.now, 2, "dropped")
-    assert h.core.groups[2].free == 0
-    assert [m.cic for m in h.take(CALLERS) if m.type == isup.REL] == [1]  # the established call was cut
+    h.take_sent(CALLERS_CODE_BASE)
+    h.call_server.link_down(h.now, 2, "dropped")
+    assert h.call_server.groups[2].free == 0
+    assert [m.cic for m in h.take_sent(CALLERS_CODE_BASE) if m.type == isup.REL] == [
+        1
+    ]  # the established call was cut
     begun = h.now
     h.advance(300)
-    retried = [m for code in (3, 4) for m in h.take(code) if m.type == isup.IAM]
+    retried = [m for code in (3, 4) for m in h.take_sent(code) if m.type == isup.IAM]
     # The pending call is tried on another route, after the release time.
     assert len(retried) == 1 and h.now - begun >= 200
-    h.core.link_up(h.now, 2, h.wires[2])
-    assert take_one(h, 2, isup.GRS).cic == 1 and h.core.groups[2].free == 0
-    h.give(
+    h.call_server.link_up(h.now, 2, h.links[2])
+    assert take_one(h, 2, isup.GRS).cic == 1 and h.call_server.groups[2].free == 0
+    h.receive(
         2,
         IsupMessage(
             1, isup.GRA, {isup.RANGE_STATUS: isup.encode_range_status(4, [False, True, False, False])}
         ),
     )
-    assert h.core.groups[2].free == 3  # one is blocked at the far end
+    assert h.call_server.groups[2].free == 3  # one is blocked at the far end
 
 
 def test_blocking_by_either_end_keeps_the_free_count_exact(h: Harness) -> None:
-    group = h.core.groups[2]
-    h.core.set_circuit_blocking(h.now, 2, 3, True)
+    group = h.call_server.groups[2]
+    h.call_server.set_circuit_blocking(h.now, 2, 3, True)
     take_one(h, 2, isup.BLO)
-    h.give(2, IsupMessage(3, isup.BLA))
+    h.receive(2, IsupMessage(3, isup.BLA))
     octets = isup.encode_range_status(2, [True, False])
-    h.give(2, IsupMessage(1, isup.CGB, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
+    h.receive(2, IsupMessage(1, isup.CGB, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
     take_one(h, 2, isup.CGBA)
     assert group.free == 2
-    h.give(2, IsupMessage(3, isup.BLO))
-    h.core.set_circuit_blocking(h.now, 2, 3, False)
+    h.receive(2, IsupMessage(3, isup.BLO))
+    h.call_server.set_circuit_blocking(h.now, 2, 3, False)
     assert group.free == 2  # still blocked by the far end
-    h.give(2, IsupMessage(3, isup.UBL))
-    h.give(2, IsupMessage(1, isup.CGU, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
+    h.receive(2, IsupMessage(3, isup.UBL))
+    h.receive(2, IsupMessage(1, isup.CGU, {isup.GROUP_SUPERVISION: b"\0", isup.RANGE_STATUS: octets}))
     assert group.free == 4
 
 
 def test_a_transit_call_is_forwarded_or_turned_back_at_once(h: Harness) -> None:
-    h.give(2, iam(1, "370030001", left=2_000))
+    h.receive(2, iam(1, "370030001", left=2_000))
     assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     for cic in range(1, 5):
-        h.give(4, IsupMessage(cic, isup.BLO))
-    h.give(2, iam(2, "370040001", left=2_000))
+        h.receive(4, IsupMessage(cic, isup.BLO))
+    h.receive(2, iam(2, "370040001", left=2_000))
     answer = take_one(h, 2, isup.REL)
     assert isup.decode_cause(answer.parameters[isup.CAUSE_INDICATORS])[0] == causes.NO_CIRCUIT
     assert isup.decode_point_code(answer.parameters[isup.SIGNALLING_POINT_CODE]) == 1
 
 
 def test_a_draining_exchange_gets_no_new_calls(h: Harness) -> None:
-    h.ready(2, m3ua.DRST, 2)
+    h.announce_exchanges(2, m3ua.DRST, 2)
     h.advance(300)
-    h.give(CALLERS, iam(1, "370020001"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001"))
     assert (
-        isup.decode_cause(take_one(h, CALLERS, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
+        isup.decode_cause(take_one(h, CALLERS_CODE_BASE, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.DESTINATION_OUT_OF_ORDER
     )
-    assert not [m for code in (2, 3, 4) for m in h.take(code) if m.type == isup.IAM]
+    assert not [m for code in (2, 3, 4) for m in h.take_sent(code) if m.type == isup.IAM]
 
 
 def test_stopping_blocks_the_groups_answers_pending_calls_and_clears_the_rest(h: Harness) -> None:
-    h.give(CALLERS, iam(1, "370020001", "501"))
+    h.receive(CALLERS_CODE_BASE, iam(1, "370020001", "501"))
     set_up = take_one(h, 2, isup.IAM)
-    h.core.stop(h.now)
-    assert [m.type for m in h.take(3)] == [isup.CGB]
-    h.give(CALLERS, iam(2, "370020001", "502"))  # its IAM crossed the blocking
-    h.give(2, IsupMessage(set_up.cic, isup.ACM, ACM))
-    assert isup.ACM in [m.type for m in h.take(CALLERS)]
-    h.core.release_all(h.now)
-    assert isup.REL in [m.type for m in h.take(CALLERS)] and not h.core.calls
+    h.call_server.stop(h.now)
+    assert [m.type for m in h.take_sent(3)] == [isup.CGB]
+    h.receive(CALLERS_CODE_BASE, iam(2, "370020001", "502"))  # its IAM crossed the blocking
+    h.receive(2, IsupMessage(set_up.cic, isup.ACM, ACM_PARAMETERS))
+    assert isup.ACM in [m.type for m in h.take_sent(CALLERS_CODE_BASE)]
+    h.call_server.release_all(h.now)
+    assert isup.REL in [m.type for m in h.take_sent(CALLERS_CODE_BASE)] and not h.call_server.calls
 
 
 def test_the_controller_always_knows_the_exact_number_of_free_circuits(h: Harness) -> None:
@@ -274,24 +287,24 @@
     for serial in range(300):
         cic = rng.choice([c for c in range(1, 32) if c not in busy_cics])
         busy_cics.append(cic)
-        h.give(CALLERS, iam(cic, f"3700{rng.choice((2, 3, 4))}0001", f"50{serial:05d}"))
+        h.receive(CALLERS_CODE_BASE, iam(cic, f"3700{rng.choice((2, 3, 4))}0001", f"50{serial:05d}"))
         for code in (2, 3, 4):
-            for message in h.take(code):
+            for message in h.take_sent(code):
                 if message.type == isup.IAM:
-                    h.give(code, IsupMessage(message.cic, isup.ACM, ACM))
+                    h.receive(code, IsupMessage(message.cic, isup.ACM, ACM_PARAMETERS))
                 elif message.type == isup.REL:
-                    h.give(code, IsupMessage(message.cic, isup.RLC))
+                    h.receive(code, IsupMessage(message.cic, isup.RLC))
         h.advance(rng.random() * 50)
-        for message in h.take(CALLERS):
+        for message in h.take_sent(CALLERS_CODE_BASE):
             if message.type == isup.REL:
-                h.give(CALLERS, IsupMessage(message.cic, isup.RLC))
+                h.receive(CALLERS_CODE_BASE, IsupMessage(message.cic, isup.RLC))
                 busy_cics.remove(message.cic)
         while len(busy_cics) > 8:
             ended = busy_cics.pop(0)
-            h.give(CALLERS, rel(ended, causes.NORMAL_CLEARING))
+            h.receive(CALLERS_CODE_BASE, rel(ended, causes.NORMAL_CLEARING))
         for code in (2, 3, 4):
-            reported = h.core.controller.offices[code].free
-            assert reported == h.core.groups[code].free, f"exchange {code} after {serial} calls"
+            reported = h.call_server.controller.exchanges[code].free
+            assert reported == h.call_server.groups[code].free, f"exchange {code} after {serial} calls"
 
 
 @pytest.mark.parametrize("width", [1, 2])
@@ -321,48 +334,48 @@
 
 def send_unit(h: Harness, point_code: int, subsystem: int, body: bytes) -> None:
     unit = sccp.encode(subsystem, body)
-    h.core.receive_data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
+    h.call_server.receive_data(h.now, point_code, m3ua.Data(point_code, 1, m3ua.SI_SCCP, 2, 0, 0, unit))
 
 
 def test_peer_messages_and_the_centre_s_advice_reach_the_controller() -> None:
-    settings = server(4, circuits=4)
-    centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
+    settings = server_settings(4, circuits=4)
+    centre = Peer("centre", "centre", CENTRE_POINT_CODE, 4, dial_address=("127.0.0.1", 1))
     h = Harness(replace(settings, peers=(*settings.peers, centre), advice=True))
-    h.up()
-    h.ready()
+    h.activate_links()
+    h.announce_exchanges()
     for cic in (1, 2, 3, 4):
-        h.give(2, IsupMessage(cic, isup.BLO))  # no direct circuit to exchange 2
+        h.receive(2, IsupMessage(cic, isup.BLO))  # no direct circuit to exchange 2
     # Exchange 3 reports that it cannot reach exchange 2 either.
     send_unit(h, 3, sccp.PEER_SUBSYSTEM, b"\3\0" + (1 << 2).to_bytes(1, "little"))
-    h.take(3)
+    h.take_sent(3)
     for serial in range(3):
-        h.give(CALLERS, iam(1 + serial, "370020001", f"50{serial}"))
+        h.receive(CALLERS_CODE_BASE, iam(1 + serial, "370020001", f"50{serial}"))
         h.advance(20)
-    assert not [m for m in h.take(3) if m.type == isup.IAM]
-    assert len([m for m in h.take(4) if m.type == isup.IAM]) >= 1
+    assert not [m for m in h.take_sent(3) if m.type == isup.IAM]
+    assert len([m for m in h.take_sent(4) if m.type == isup.IAM]) >= 1
     advised: list[int] = []
-    handle = h.core.controller.handle
+    handle = h.call_server.controller.handle
 
     def recording(now: float, event: Event) -> list[Action]:
         if isinstance(event, Request):
             advised.append(event.via)
         return handle(now, event)
 
-    h.core.controller.handle = recording  # type: ignore[method-assign]
-    send_unit(h, CENTRE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
+    h.call_server.controller.handle = recording  # type: ignore[method-assign]
+    send_unit(h, CENTRE_POINT_CODE, sccp.CENTRE_SUBSYSTEM, bytes((2, 4, 3, 255)))
     send_unit(h, 3, sccp.CENTRE_SUBSYSTEM, bytes((2, 3)))  # ignored: only the centre may advise
-    h.give(CALLERS, iam(7, "370020001", "507"))
-    h.give(CALLERS, iam(8, "370030001", "508"))
+    h.receive(CALLERS_CODE_BASE, iam(7, "370020001", "507"))
+    h.receive(CALLERS_CODE_BASE, iam(8, "370030001", "508"))
     assert advised == [4, -1]
 
 
 def test_servers_report_free_circuits_to_each_other_and_to_the_centre() -> None:
-    settings = server(3, circuits=4)
-    centre = Peer("centre", "centre", CENTRE, 4, dial_address=("127.0.0.1", 1))
+    settings = server_settings(3, circuits=4)
+    centre = Peer("centre", "centre", CENTRE_POINT_CODE, 4, dial_address=("127.0.0.1", 1))
     limits = replace(settings.limits, peer_messages=True)
     h = Harness(replace(settings, peers=(*settings.peers, centre), limits=limits))
     sent: list[tuple[int, int, bytes]] = []
-    for code, wire in h.wires.items():
+    for code, wire in h.links.items():
         send_data = wire.send_data
 
         def record(
@@ -373,23 +386,27 @@
             send_data(service, sls, body)
 
         wire.send_data = record  # type: ignore[method-assign]
-    h.up()
-    h.ready()
+    h.activate_links()
+    h.announce_exchanges()
     h.advance(8_000)
     peers = {code for code, subsystem, _ in sent if subsystem == sccp.PEER_SUBSYSTEM}
     assert peers == {2, 3}
-    reports = [body for code, subsystem, body in sent if (code, subsystem) == (CENTRE, sccp.CENTRE_SUBSYSTEM)]
+    reports = [
+        body
+        for code, subsystem, body in sent
+        if (code, subsystem) == (CENTRE_POINT_CODE, sccp.CENTRE_SUBSYSTEM)
+    ]
     assert len(reports) >= 7 and reports[-1] == bytes((1, 2, 0, 4, 3, 0, 4))
 
 
 def test_an_empty_optional_parameter_counts_as_absent_and_leaks_no_call(h: Harness) -> None:
     message = iam(1, "370030001")
     message.parameters |= {isup.HOP_COUNTER: b"", isup.USER_TO_USER: b"", isup.SIGNALLING_POINT_CODE: b""}
-    h.give(2, message)
+    h.receive(2, message)
     assert take_one(h, 3, isup.IAM).parameters[isup.HOP_COUNTER] == b"\2"
     looping = iam(2, "370030001")
     looping.parameters[isup.HOP_COUNTER] = b"\0"
-    h.give(2, looping)
+    h.receive(2, looping)
     assert (
         isup.decode_cause(take_one(h, 2, isup.REL).parameters[isup.CAUSE_INDICATORS])[0]
         == causes.EXCHANGE_ROUTING_ERROR
@@ -397,11 +414,11 @@
 
 
 def test_a_blocking_removed_before_its_acknowledgement_is_not_repeated(h: Harness) -> None:
-    h.core.set_circuit_blocking(h.now, 2, 3, True)
-    h.core.set_circuit_blocking(h.now, 2, 3, False)
-    h.take(2)
+    h.call_server.set_circuit_blocking(h.now, 2, 3, True)
+    h.call_server.set_circuit_blocking(h.now, 2, 3, False)
+    h.take_sent(2)
     h.advance(40_000)
-    assert {m.type for m in h.take(2)} == {isup.UBL} and h.core.groups[2].free == 4
-    h.give(2, IsupMessage(3, isup.UBA))
+    assert {m.type for m in h.take_sent(2)} == {isup.UBL} and h.call_server.groups[2].free == 4
+    h.receive(2, IsupMessage(3, isup.UBA))
     h.advance(40_000)
-    assert not h.take(2)
+    assert not h.take_sent(2)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -67,12 +67,12 @@
 
 
 def test_all_examples_are_valid_and_cover_every_trouble() -> None:
-    from ospreybridge.lab.script import KINDS, load
+    from ospreybridge.lab.script import TROUBLE_KINDS, load
 
     assert run("check", str(EXAMPLES / "cs1.kdl")).returncode == 0
     days = {path.stem.removeprefix("day-"): load(path) for path in EXAMPLES.glob("*day*.kdl")}
-    assert set(KINDS) <= set(days)
-    for kind in KINDS:
+    assert set(TROUBLE_KINDS) <= set(days)
+    for kind in TROUBLE_KINDS:
         assert kind in {trouble.kind for trouble in days[kind].troubles}
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -19,8 +19,8 @@
 from ospreybridge.keys import certificate_info, credentials, validation
 from ospreybridge.keys.authority import CertificateAuthority
 from ospreybridge.keys.certificate_info import CLIENT_AUTH, SERVER_AUTH
+from ospreybridge.keys.expiry import DAY_S, ExpiryWarnings
 from ospreybridge.keys.validation import FailureReason
-from ospreybridge.keys.watch import DAY_S, ExpiryWarnings
 from ospreybridge.net.tls import TlsContexts
 
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -394,7 +394,7 @@
         if sent is None:
             rig.handle(interface.TimerExpired(POLL_LABEL), 900.0)
             continue
-        answers = rig.outcome(1, attempt, sent.cell, interface.Result.FULL, interface.Note.TURNED_BACK)
+        answers = rig.outcome(1, attempt, sent.number, interface.Result.FULL, interface.Note.TURNED_BACK)
         if tries == 3 and not sent_to(answers):
             answers = rig.handle(interface.TimerExpired(POLL_LABEL), 800.0)
         sends += len(actions_of_type(answers, interface.Send))
@@ -410,7 +410,7 @@
         for attempt, exchange in enumerate(sent_to(rig.request(ref=ref, dest=1))):
             rig.outcome(ref, attempt, exchange, interface.Result.FULL, interface.Note.TURNED_BACK)
         rig.handle(interface.CallerLeft(ref))
-    assert rig.controller.offices[101].turn_backs > 1
+    assert rig.controller.exchanges[101].turn_backs > 1
     assert sent_to(rig.request(ref=9, dest=1)) == []
     assert len(sent_to(rig.request(ref=10, dest=2))) == 1
 
@@ -523,5 +523,5 @@
     """A server with a slow processor limited every exchange to a trickle, long after it had recovered."""
     rig = Rig(count=20)
     count_sends(rig, list(range(1, 21)), None, range(1_000, 1_060))
-    assert rig.controller.own.window < 1.0
-    assert sum(x.window < 1.0 for x in rig.controller.offices.values()) < 10
+    assert rig.controller.own_processor.window < 1.0
+    assert sum(x.window < 1.0 for x in rig.controller.exchanges.values()) < 10
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -29,7 +29,7 @@
         f.run_until(f.all_circuits_free)
         # Each call is counted at both of its ends.
         assert sum(server.finals["stands"] for server in f.call_servers.values()) == 24
-        assert not any(end.faults for end in [*f.offices.values(), *f.callers.values()])
+        assert not any(end.protocol_errors for end in [*f.offices.values(), *f.callers.values()])
 
 
 def test_full_trunk_group_overflows_over_a_tandem_whose_own_controller_routes_on(tmp_path: Path) -> None:
@@ -63,16 +63,16 @@
 
 def test_an_office_that_answers_after_the_caller_gave_up(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
-        f.offices[2].slow = 2_000.0  # about a second
+        f.offices[2].slowdown = 2_000.0  # about a second
         f.call(1, 2, 0)
         f.run_until(lambda: len(f.call_servers[2].calls) == 1)
-        call = next(iter(f.callers[1].on.values()))
+        call = next(iter(f.callers[1].intent_by_circuit.values()))
         f.callers[1]._hang_up(f.loop.now, call)
         f.run_until(f.all_circuits_free)
-        f.loop.run_until(lambda: f.offices[2].free_at < f.loop.now, 5_000)
+        f.loop.run_until(lambda: f.offices[2].idle_at < f.loop.now, 5_000)
         f.loop.run_until(lambda: False, 100)
         assert answered(f.tally) == 0 and not f.call_servers[1].calls and not f.call_servers[2].calls
-        assert not f.callers[1].faults
+        assert not f.callers[1].protocol_errors
 
 
 def test_rel_crosses_acm(tmp_path: Path) -> None:
@@ -83,10 +83,10 @@
             loop_runs = serial % 8
             for _ in range(loop_runs):
                 f.loop.run_once(1.0)
-            for call in list(f.callers[1].on.values()):
+            for call in list(f.callers[1].intent_by_circuit.values()):
                 f.callers[1]._hang_up(f.loop.now, call)
             f.run_until(f.all_circuits_free)
-        assert not f.callers[1].faults and not f.offices[2].faults
+        assert not f.callers[1].protocol_errors and not f.offices[2].protocol_errors
 
 
 def test_dual_seizure_on_every_circuit_at_once(tmp_path: Path) -> None:
@@ -123,10 +123,10 @@
         for serial in range(4):
             f.call(1, 2, serial)
             f.run_until(lambda n=serial: answered(f.tally) == n + 1)  # type: ignore[misc]
-        f.offices[2].slow = 400.0
+        f.offices[2].slowdown = 400.0
         f.call(1, 2, 4)  # over exchange 3
         f.run_until(lambda: len(f.call_servers[3].calls) == 1)
-        f.exchange_list.change(3, m3ua.DRST)
+        f.exchange_list.update(3, m3ua.DRST)
         f.run_until(lambda: answered(f.tally) == 5)  # the set-up in progress still succeeds
         f.loop.run_until(lambda: False, 300.0)
         before = f.call_servers[3].last_ref
@@ -141,12 +141,12 @@
         sock.send(m3ua.encode(m3ua.ASPUP, [(m3ua.ASP_ID, m3ua.uint32(2_001))])[:11])
         f.call(1, 2, 0)
         f.run_until(lambda: answered(f.tally) == 1)
-        f.run_until(lambda: _ended(sock), 4_000)
+        f.run_until(lambda: closed_by_peer(sock), 4_000)
         assert f.callers[1].up
         sock.close()
 
 
-def _ended(sock: object) -> bool:
+def closed_by_peer(sock: object) -> bool:
     try:
         return sock.recv(4_096) == b""  # type: ignore[attr-defined,no-any-return]
     except BlockingIOError:
@@ -161,7 +161,7 @@
         channel.stream.max_unsent_bytes = 20_000
         far_channel = f.channel(2, 1)
         f.loop.readers.pop(far_channel.stream.fd)  # exchange 2 stops reading
-        f.loop._mask(far_channel.stream.fd)
+        f.loop._update_registration(far_channel.stream.fd)
         for _ in range(200_000):
             if channel.stream.closed:
                 break
@@ -236,8 +236,8 @@
         before = association.state
         association.send(m3ua.encode_data(m3ua.Data(2_001, 1, 5, 2, 0, 1, b"\1\0\x12", 4_711)))
         association.send(m3ua.encode((9, 9)))
-        f.run_until(lambda: len(f.callers[1].faults) == 2)
-        assert f.callers[1].faults == ["ERR 25", "ERR 3"] and association.state is before
+        f.run_until(lambda: len(f.callers[1].protocol_errors) == 2)
+        assert f.callers[1].protocol_errors == ["ERR 25", "ERR 3"] and association.state is before
         f.call(1, 2, 0)
         f.run_until(lambda: answered(f.tally) == 1)
 
@@ -271,7 +271,7 @@
         association = f.callers[1].association
         assert association is not None
         seen: list[int] = []
-        f.callers[1].isup = lambda message: seen.append(message.type)  # type: ignore[method-assign]
+        f.callers[1].on_isup = lambda message: seen.append(message.type)  # type: ignore[method-assign]
         association.send_data(m3ua.SI_ISUP, 1, b"\x05\x00\xee")
         association.send_data(m3ua.SI_ISUP, 1, b"\x05\x00\x01\x00")
         f.run_until(lambda: seen == [isup.CFN, isup.CFN])
@@ -281,5 +281,8 @@
 def test_the_relay_reads_cic_message_type_and_service_indicator_from_a_frame() -> None:
     message = isup.IsupMessage(0x123, isup.RLC)
     frame = m3ua.encode_data(m3ua.Data(1, 2, m3ua.SI_ISUP, 2, 0, 3, isup.encode(message), 9))
-    assert relay._cic(frame) == 0x123
-    assert (frame[relay.SERVICE], frame[relay.TYPE]) == (m3ua.SI_ISUP, isup.RLC)
+    assert relay._frame_cic(frame) == 0x123
+    assert (frame[relay.SERVICE_INDICATOR_OFFSET], frame[relay.MESSAGE_TYPE_OFFSET]) == (
+        m3ua.SI_ISUP,
+        isup.RLC,
+    )
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -20,7 +20,7 @@
 from ospreybridge.net.loop import Task
 from ospreybridge.signalling import m3ua
 from tests.fleet import Fleet, connect, fleet, standin_contexts
-from tests.test_sockets import _ended, answered
+from tests.test_sockets import answered, closed_by_peer
 
 
 def unchecked_context(folder: Path, file: str, server: bool = False) -> ssl.SSLContext:
@@ -202,7 +202,7 @@
         f.run_until(lambda: f.fronts[1].counts["tls wrong name"] == 1)
         plain = connect(f.ports[1])
         plain.send(asp_up)
-        f.run_until(lambda: f.fronts[1].counts["tls not TLS"] == 1 and _ended(plain))
+        f.run_until(lambda: f.fronts[1].counts["tls not TLS"] == 1 and closed_by_peer(plain))
         other = connect(f.fronts[1].port)
         other.send(asp_up)
         f.run_until(lambda: f.fronts[1].counts["tls plain where TLS is due"] == 1)
@@ -298,7 +298,7 @@
         f.run_until(lambda: f.fronts[1].counts["tls truncated"] == 1)
         f.offices[2].hung = False
         f.run_until(lambda: answered(f.tally) == 1)
-        assert f.call_servers[1].finals["stands"] == 1 and not f.callers[1].faults
+        assert f.call_servers[1].finals["stands"] == 1 and not f.callers[1].protocol_errors
 
 
 def test_calls_survive_an_expired_certificate_and_renewal_restores_links(tmp_path: Path) -> None:
@@ -356,7 +356,7 @@
 def test_simultaneous_renewals_lose_no_pending_calls(tmp_path: Path) -> None:
     with fleet(tmp_path, tls_options="") as f:
         assert f.authority is not None
-        f.offices[2].slow = 40.0
+        f.offices[2].slowdown = 40.0
         serial = 0
         for _ in range(4):
             moved = sum(front.counts["links moved over"] for front in f.fronts.values())
