--- a/ospreybridge/interface.py
+++ b/ospreybridge/interface.py
@@ -101,7 +101,7 @@
 class Tenant:
     """A customer and the quota agreed for its traffic."""
 
-    quota_per_s: float = 0.0  # calls a second; 0: `share` counts
+    quota_per_s: float = 0.0  # calls per second; 0: `share` applies
     share: float = 0.0  # share of the fleet's traffic
     name: str = ""
 
@@ -121,7 +121,7 @@
     """What this deployment allows a controller to do."""
 
     cancel: bool = False  # unanswered attempts may be cancelled
-    max_tries: int = 1  # attempts a call
+    max_tries: int = 1  # attempts per call
     probes: bool = False  # `Probe` is allowed
     peer_messages: bool = False  # `NotifyPeers` is allowed
     retry_after: bool = False  # `Refuse` may say when to redial
--- a/ospreybridge/policy.py
+++ b/ospreybridge/policy.py
@@ -50,7 +50,7 @@
     TimerExpired,
 )
 
-# Lifetime of a mark: (tandem, destination) that turned back lately. The value is the design's.
+# Lifetime of a mark, set on a (tandem, destination) pair that turned back a call.
 MARK_LIFETIME_MS = 10_000.0
 # Interval between messages to the peers about full trunk groups, as a fraction of the mark lifetime.
 PEER_MESSAGE_INTERVAL_FRACTION = 0.5
@@ -60,7 +60,7 @@
 CUT_CALL_WORTH_FACTOR = 2.0
 # Trunk reservation: fraction of a group kept free of overflow, transit and late calls.
 RESERVED_FRACTION = 0.1
-# Windows, in unanswered set-ups: of an exchange nothing is known of, and the largest for one exchange.
+# Windows, in unanswered set-ups: initial value for a new exchange or processor, and maximum for one exchange.
 INITIAL_WINDOW = 4.0
 MAX_WINDOW = 6.0
 # Answer delays as fractions of the on-time target: up to the first the window widens, beyond the second it
@@ -75,7 +75,8 @@
 OWN_WINDOW_DECREASE_FACTOR = 0.8
 # Smallest window: one set-up, then a gap of four times its duration.
 MIN_WINDOW = 0.2
-# Largest factor on both delay limits where set-ups to one exchange are rare: one answer must count for more.
+# Largest factor on both delay limits. Where set-ups to one exchange are rare, its window depends on single
+# answers, so a longer delay is tolerated.
 MAX_DELAY_TOLERANCE = 2.0
 # Longest gap of a window below one, in usual set-up intervals; the limit is never below one on-time target.
 MAX_GAP_FACTOR = 1.0
@@ -116,7 +117,7 @@
         self.readiness, self.started_at = entry.readiness, entry.started_at
         # Circuits of the trunk group; until the first report the group counts as open.
         self.free, self.size, self.reserved = float("inf"), 0.0, 1.0
-        # trickle_logged: a log line said that the window is below one; the next one will end that state.
+        # trickle_logged: a remark reported the window below one, and none yet that it recovered.
         self.window, self.trickle_logged = INITIAL_WINDOW, False
         self.unanswered: dict[tuple[int, int], float] = {}  # unanswered attempts: time of sending
         # Set-ups sent before narrowed_at don't narrow the window again; none is sent before resume_at.
@@ -143,7 +144,8 @@
         self.on_time_until = min(now + call_class.on_time, request.expires)
         self.answer_by = request.expires - answer_margin  # latest time of the final answer
         self.attempt_count, self.turn_backs = 0, 0
-        # No attempt before not_before (release time); a class with an effect none after retry_window_end.
+        # No attempt before not_before (release time). Once an attempt may have been executed, a guarded class
+        # allows none from retry_window_end on.
         self.not_before, self.retry_window_end = now, 0.0
         self.sent_to: Exchange | None = None  # exchange of the unanswered attempt
         # maybe_executed: an earlier attempt may have taken effect at the far end.
@@ -203,7 +205,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Takes one event at time `now` (ms) and returns the actions to perform, in order."""
         self.first_event_at = now if self.first_event_at < 0 else self.first_event_at
-        self.dispatch_due = type(event) is Members  # whether a waiting call may be able to go now
+        self.dispatch_due = type(event) is Members  # whether a waiting call may have a route now
         handler = self.handlers.get(type(event))
         if handler is not None:
             handler(now, event)
@@ -219,7 +221,7 @@
     # -- exchange list and circuits
 
     def _on_members(self, now: float, event: Members) -> None:
-        """Applies an exchange list or a change to it; after a failed subscription it asks again."""
+        """Applies an exchange list or a change to it; schedules a new subscription after a failed one."""
         if event.form is ListForm.FAILED:
             self.actions.append(
                 StartTimer(POLL_LABEL + 1, self.settings.rules.ask_within * self.random.uniform(0.1, 0.3))
@@ -263,7 +265,7 @@
             cold.resume_at = now + self._cold_gap(now, cold) * self.random.random()
 
     def _update_circuits(self, now: float, event: Probed | Outcome) -> None:
-        """Takes over the free circuits that a load report names."""
+        """Updates an exchange's trunk group from a load report."""
         exchange, report = self.exchanges.get(event.office), event.report
         if exchange is not None and report is not None and report.free is not None:
             self.dispatch_due = self.dispatch_due or report.free >= exchange.free
@@ -274,7 +276,8 @@
         """Sends the peers a bit mask of the exchanges to which this one has no circuits for overflow.
 
         The peers mark them as if this tandem had turned back a call. Without it a call tries dozens of full
-        tandems one by one. The message is seconds old when it is used; losing one does no harm.
+        tandems one by one. The message is seconds old when it is used; losing one does no harm. With exchange
+        numbers below 2,000 the body has at most 253 octets, so it fits into one SCCP unitdata message (254).
         """
         full_mask = sum(
             1 << x.number
@@ -293,7 +296,10 @@
         )
 
     def _on_peer_message(self, now: float, event: PeerMessage) -> None:
-        """Marks a tandem for the destinations it reported full; other messages are ignored."""
+        """Marks a tandem for the destinations it reported full; other messages are ignored.
+
+        The marks last 1.5 message intervals: the next message renews those that still apply.
+        """
         sender, full_mask = int.from_bytes(event.body[:2], "little"), int.from_bytes(event.body[2:], "little")
         for number in self.ready_exchanges if len(event.body) > 2 and sender in self.ready_exchanges else ():
             if full_mask >> number & 1:
@@ -302,7 +308,10 @@
     # -- calls: arrival, waiting, final answer
 
     def _on_request(self, now: float, request: Request) -> None:
-        """Admits a new call: it waits for a route or gets its final answer at once."""
+        """Admits a new call: it waits for a route or gets its final answer at once.
+
+        A transit call never waits: it is sent on or refused at once.
+        """
         call = Call(
             request, self.settings.classes[request.class_index], now, ANSWER_MARGIN_TICKS * self.settings.tick
         )
@@ -320,7 +329,8 @@
     def _apply_first_try(self, now: float, call: Call) -> None:
         """Counts a redialling caller's time from its first try, because its on-time target ran on meanwhile.
 
-        A redial is recognised by its mark or, where redials carry none, by number, destination and class.
+        A redial is recognised by `Request.redial` or, where callers don't set it, by number, destination and
+        class. A flagged redial whose first try isn't known here counts as late.
         """
         request = call.request
         if request.transit or request.after_cut or (self.settings.redials_marked and not request.redial):
@@ -529,11 +539,11 @@
 
     def _raise_cold_pace(self, now: float, exchange: Exchange) -> None:
         """Raises the pace after an answer in time, by at most COLD_PACE_GROWTH per overload period."""
-        budget_fraction = min(
+        period_fraction = min(
             1.0, (now - exchange.pace_factor_at) / max(self.settings.rules.overload_for, 1.0)
         )
         exchange.pace_factor, exchange.pace_factor_at = (
-            min(MAX_COLD_PACE_FACTOR, exchange.pace_factor * COLD_PACE_GROWTH**budget_fraction),
+            min(MAX_COLD_PACE_FACTOR, exchange.pace_factor * COLD_PACE_GROWTH**period_fraction),
             now,
         )
 
@@ -542,7 +552,7 @@
         return exchange.free >= call.request.width + (exchange.reserved if keep_reserve else 0.0)
 
     def _dispatch_waiting(self, now: float) -> None:
-        """Sends waiting calls that have a route, the most worthy first."""
+        """Sends waiting calls that have a route, in descending order of worth."""
         open_tandems = [
             x
             for x in self.ready_exchanges.values()
@@ -660,7 +670,7 @@
     # -- answers
 
     def _on_established(self, now: float, event: Established) -> None:
-        """Takes in that an attempt was answered and its call is established."""
+        """Handles an established call: updates windows, marks and the usual set-up time."""
         key = (event.ref, event.attempt)
         if key not in self.attempts:
             return
@@ -760,7 +770,7 @@
             exchange.resume_at = max(exchange.resume_at, now + gap * self.random.uniform(0.5, 1.5))
 
     def _on_outcome(self, now: float, event: Outcome) -> None:
-        """Takes in the end of an attempt: updates windows and marks, then retries the call or ends it."""
+        """Handles the end of an attempt: updates windows and marks, then retries the call or ends it."""
         self._update_circuits(now, event)
         key = (event.ref, event.attempt)
         if key not in self.attempts:
@@ -788,7 +798,7 @@
                 path[0].resume_at, now + event.retry_after, now + FULL_PROCESSOR_PAUSE_FRACTION * self.on_time
             )
         elif result is Result.FULL and note is Note.TURNED_BACK:
-            if event.retry_after > 0:
+            if event.retry_after > 0:  # the destination's processor is full, not the group to it
                 self._narrow_window(
                     now, path[-1], sent_at, FULL_PROCESSOR_PAUSE_FRACTION * self.on_time, path
                 )
--- a/ospreybridge/settings/platform.py
+++ b/ospreybridge/settings/platform.py
@@ -33,7 +33,7 @@
     cores: float
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
+    peers_all: Address | None  # messages to all peers go here
     journal: Address  # of the journal service
     known_events: tuple[frames.Frame, ...]  # the office list at the start
     settings: interface.Settings
@@ -53,7 +53,10 @@
         self.errors.append(f"{self.path}: {key}: {expected}")
 
     def read(self, tree: dict[str, Any], key: str, convert: Callable[[Any], Any], default: Any = None) -> Any:
-        """The converted value of the last part of `key` in `tree`; `default` if it is absent or invalid."""
+        """The converted value of the last part of `key` in `tree`; `default` if it is absent or invalid.
+
+        An invalid value is recorded as an error, and so is an absent one if there is no default.
+        """
         name = key.rpartition(".")[2]
         if name not in tree and default is not None:
             return default
--- a/ospreybridge/settings/reader.py
+++ b/ospreybridge/settings/reader.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueSpec:
-    """How an argument or property is converted, and what stands for it when absent or invalid."""
+    """How an argument or property is converted, and the value used if it is absent or invalid."""
 
     convert: Converter
     default: Any = None
--- a/ospreybridge/settings/server.py
+++ b/ospreybridge/settings/server.py
@@ -123,13 +123,13 @@
     limits: interface.Limits
     goal: interface.Goal
     timers: TimerSettings = field(default_factory=TimerSettings)
-    tick: float = 5.0
+    tick: float = 5.0  # granularity of the controller's timers
     over_share_worth: float = 1.0
-    advice: bool = False
-    stop_within: float = 10_000.0
+    advice: bool = False  # the traffic centre sends route advice
+    stop_within: float = 10_000.0  # longest time from the stop request to the end of the process
     out_buffer: int = 1 << 20  # unsent octets queued for a peer before its connection is closed
     answer_margin: float = 100.0  # of a caller's time, kept for the answer's return; at most a tenth of it
-    seed: int = 0
+    seed: int = 0  # of the controller's random numbers
     path: str = ""  # of the settings file
     tls: TlsSettings | None = None
 
--- a/ospreybridge/signalling/frames.py
+++ b/ospreybridge/signalling/frames.py
@@ -129,7 +129,7 @@
 
 
 def office_id(text: object) -> int:
-    """The office of a name; ValueError if it is not one."""
+    """The office id in a name; ValueError if it is not an office name."""
     if not isinstance(text, str) or len(text) != 10 or not text.startswith("s-"):
         raise ValueError("s- and 8 hex digits were expected")
     return int(text[2:], 16)
--- a/ospreybridge/signalling/isup.py
+++ b/ospreybridge/signalling/isup.py
@@ -68,9 +68,10 @@
     CFN: ((), (CAUSE_INDICATORS,), True),
 }
 SPEECH, TWO_TIMES_64 = 0, 7  # transmission medium requirements: one circuit, and 2 x 64 kbit/s
-SUBSCRIBER_FREE = b"\x14\x04"  # backward call indicators: charge, subscriber free, ISUP used all the way
+# Backward call indicators: no charge indication, subscriber free, ordinary subscriber, ISUP used all the way.
+SUBSCRIBER_FREE = b"\x14\x04"
 DEFAULT_NATURE_OF_CONNECTION = b"\x00"
-DEFAULT_FORWARD_INDICATORS = b"\x20\x01"  # ISUP used all the way, preferred; ISDN access
+DEFAULT_FORWARD_INDICATORS = b"\x20\x01"  # ISUP used and preferred all the way; originating ISDN access
 MAINTENANCE_ORIENTED = b"\x00"  # group supervision type: blocking that leaves established calls alone
 EVENT_ALERTING = b"\x01"  # event information
 
@@ -288,7 +289,7 @@
 
 
 def decode_user_words(raw: bytes | None) -> dict[str, int]:
-    """The known words of a user-to-user information; anything else in it is ignored."""
+    """The known words in user-to-user information; anything else in it is ignored."""
     if not raw or raw[0]:
         return {}
     values = {}
--- a/ospreybridge/signalling/m3ua.py
+++ b/ospreybridge/signalling/m3ua.py
@@ -17,7 +17,7 @@
 PARAMETER_HEADER = struct.Struct(">HH")  # tag, length
 PROTOCOL_DATA_HEADER = struct.Struct(">IIBBBB")  # OPC, DPC, SI, NI, MP, SLS
 DATA_HEADER = struct.Struct(">BBBBIHHIHHIIBBBB")  # common header, routing context, protocol data header
-MAX_FRAME_BYTES = 4_096  # an ISUP message has at most 272
+MAX_FRAME_BYTES = 4_096  # an ISUP message has at most 272 octets
 
 # Message classes, and messages as (class, type).
 MGMT, TRANSFER, SSNM, ASPSM, ASPTM = 0, 1, 2, 3, 4
--- a/ospreybridge/signalling/sccp.py
+++ b/ospreybridge/signalling/sccp.py
@@ -13,7 +13,9 @@
     """A unitdata message with 1 to 254 octets of data, between two subsystems of the same number."""
     if not 1 <= len(body) <= 254:
         raise EncodeError(f"{len(body)} octets of unitdata, not 1 to 254")
+    # Length; address indicator: routed on the subsystem number, which alone is present.
     address = bytes((2, 0x42, subsystem))
+    # Message type, protocol class 0, pointers to called address, calling address and data.
     return bytes((UDT, 0, 3, 5, 7)) + address + address + bytes((len(body),)) + body
 
 
--- a/ospreybridge/wire.py
+++ b/ospreybridge/wire.py
@@ -115,10 +115,10 @@
     return tail[offset : offset + length]
 
 
-def _decode_entries(tail: bytes, offset: int, number: int) -> tuple[interface.Entry, ...]:
+def _decode_entries(tail: bytes, offset: int, count: int) -> tuple[interface.Entry, ...]:
     entries = []
     for zone, started_at, readiness, kind, weight, office_octets, exchange in ENTRY.iter_unpack(
-        _tail_slice(tail, offset, number * ENTRY.size)
+        _tail_slice(tail, offset, count * ENTRY.size)
     ):
         entries.append(
             interface.Entry(
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -115,10 +115,10 @@
 def test_a_waiting_call_is_refused_before_its_caller_leaves() -> None:
     rig = Rig()
     rig.set_free_circuits(c1=0, c2=0, c3=0, c4=0)
-    reminders = actions_of_type(rig.request(ref=5, dest=1, patience=3_000), interface.StartTimer)
-    last = next(r for r in reminders if r.label == 5)
-    assert last.delay < 3_000
-    assert actions_of_type(rig.handle(interface.TimerExpired(5), last.delay), interface.Refuse) == [
+    timers = actions_of_type(rig.request(ref=5, dest=1, patience=3_000), interface.StartTimer)
+    call_timer = next(timer for timer in timers if timer.label == 5)
+    assert call_timer.delay < 3_000
+    assert actions_of_type(rig.handle(interface.TimerExpired(5), call_timer.delay), interface.Refuse) == [
         interface.Refuse(5, 0.0)
     ]
     assert rig.handle(interface.TimerExpired(5)) == NO_ACTIONS
