--- a/ospreybridge/cli/main.py
+++ b/ospreybridge/cli/main.py
@@ -147,8 +147,8 @@
         click.echo(f"{file}: listen: {error}", err=True)
         sys.exit(2)
     except CredentialsError as error:
-        for fault in error.errors:
-            click.echo(f"{file}: tls: {fault}", err=True)
+        for message in error.errors:
+            click.echo(f"{file}: tls: {message}", err=True)
         sys.exit(2)
     if port_file is not None:
         port_file.write_text(f"{daemon.front.tls_port or daemon.front.port}\n")
@@ -185,7 +185,7 @@
 def offices(file: Path, setup: float, seconds: float) -> None:
     """Stands in for what surrounds the call server of FILE: its office's lines and the exchange list.
 
-    The office answers every call after its processor's work; the list tells all exchanges ready.
+    The office answers each call after its processor's service time; the list reports all exchanges as ready.
     """
     from ospreybridge.net.loop import EventLoop
     from ospreybridge.settings.server import Peer
@@ -208,11 +208,11 @@
             dial_address=("", 0),
             cics=peer.cics,
         )
-        place = EndpointConfig(loop, peer.point_code, server, lambda: settings.listen)
+        config = EndpointConfig(loop, peer.point_code, server, lambda: settings.listen)
         if peer.role == "office":
-            standins.append(Office(place, Processor(setup_ms=setup), 1))
+            standins.append(Office(config, Processor(setup_ms=setup), 1))
         elif peer.role == "list":
-            standins.append(ListLink(place, list_service))
+            standins.append(ListLink(config, list_service))
     click.echo(f"standing in for {len(standins)} peers of {settings.name}; interrupt to end")
     with contextlib.suppress(KeyboardInterrupt):
         loop.run_until(lambda: False, seconds * 1_000 if seconds else 1e12)
--- a/ospreybridge/keys/expiry.py
+++ b/ospreybridge/keys/expiry.py
@@ -1,9 +1,9 @@
-"""Warnings before a certificate expires: once at each configured threshold, then hourly. No I/O."""
+"""Warnings before a certificate expires: once at each threshold, and hourly from the last day on. No I/O."""
 
 from __future__ import annotations
 
 DAY_S = 86_400.0
-REPEATED_WARNINGS_S = 1.0 * DAY_S  # in the last day, warnings repeat so that whoever is on call sees one
+REPEATED_WARNINGS_S = 1.0 * DAY_S  # from the last day on, warnings repeat so that whoever is on call sees one
 REPEAT_INTERVAL_S = 3_600.0
 
 
@@ -24,7 +24,7 @@
 
         A name with a changed expiry time (a renewed certificate) starts over. `now` and `expiry_times` are in
         seconds since 1970. `short_lived` is the name of an item that is renewed every few days, such as a
-        revocation list: it is warned about on its last day only.
+        revocation list: its warnings begin on its last day.
         """
         warnings = []
         for name, expires_at in expiry_times.items():
--- a/ospreybridge/lab/checker.py
+++ b/ospreybridge/lab/checker.py
@@ -44,7 +44,7 @@
     cold_share: float
     warm_after: float
     setup_time: float  # processing time of one set-up on a warm processor
-    setup_slack: float = 6.0  # set-ups tolerated above the limit of rule 4, for random variation
+    setup_slack: float = 6.0  # set-ups above the limit of rule 4 that random arrivals may add
     # Periods in which a call server was stopped by SIGSTOP: exchange, start, end.
     suspensions: tuple[tuple[int, float, float], ...] = ()
 
@@ -163,6 +163,7 @@
         self.result.violations.append(f"rule {rule} at {at:.1f} ms: {text}")
 
     def _was_suspended(self, exchange: int, at: float) -> bool:
+        """Whether a call server was suspended at `at`, or resumed up to 1 s before; it may answer late."""
         return any(
             suspended == exchange and begin <= at <= end + 1_000
             for suspended, begin, end in self.config.suspensions
--- a/ospreybridge/lab/day.py
+++ b/ospreybridge/lab/day.py
@@ -295,7 +295,7 @@
         centre = TrafficCentre(loop, day.centre_interval_ms)
         for n in self.exchange_numbers:
 
-            def place(code: int, size: int = 0, n: int = n) -> EndpointConfig:
+            def endpoint_config(code: int, size: int = 0, n: int = n) -> EndpointConfig:
                 cics = parse_cic_ranges([f"1-{size}"]) if size else ()
                 server = Peer(
                     "cs",
@@ -307,22 +307,24 @@
                     tls_name=f"cs{n}.{DOMAIN}",
                 )
 
-                def address() -> tuple[str, int] | None:
+                def get_address() -> tuple[str, int] | None:
                     return ("127.0.0.1", self.relay_ports[code, n]) if self.servers[n].port else None
 
-                return EndpointConfig(loop, code, server, address, self.tls_contexts)
+                return EndpointConfig(loop, code, server, get_address, self.tls_contexts)
 
             lines, access = day.fleet["lines"], day.fleet["access"]
-            self.offices[n] = Office(place(OFFICE_CODE_BASE + n, lines), day.processor, day.seed + n)
+            self.offices[n] = Office(
+                endpoint_config(OFFICE_CODE_BASE + n, lines), day.processor, day.seed + n
+            )
             self.callers[n] = Callers(
-                place(CALLERS_CODE_BASE + n, access),
-                day.habits,
+                endpoint_config(CALLERS_CODE_BASE + n, access),
+                day.caller_behaviour,
                 day.seed * 7 + n,
                 self.tally,
                 self.setup_delays,
             )
-            ListLink(place(LIST_POINT_CODE), self.exchange_list)
-            CentreLink(place(CENTRE_POINT_CODE), centre, n)
+            ListLink(endpoint_config(LIST_POINT_CODE), self.exchange_list)
+            CentreLink(endpoint_config(CENTRE_POINT_CODE), centre, n)
 
     def all_associations_up(self) -> bool:
         """Whether the associations of all offices, callers and list links are active."""
@@ -403,7 +405,7 @@
         self.traffic_factor = 1.0
 
     def _retry_abuse(self, trouble: Trouble, affected: list[int], duration: float) -> Task:
-        normal = self.day.habits
+        normal = self.day.caller_behaviour
         abusive = replace(
             normal, redials=normal.redials + 4, redial_after=normal.redial_after / 4, heed_share=0.0
         )
--- a/ospreybridge/lab/harness.py
+++ b/ospreybridge/lab/harness.py
@@ -16,8 +16,9 @@
 from ospreybridge.signalling import isup, m3ua
 from ospreybridge.signalling.isup import IsupMessage
 
-# Point codes of the lab. An exchange has its number as its point code; its office and its callers have the
-# first two of these plus that number.
+# Point codes of the lab. An exchange has its number as its point code. In a scripted day its office and its
+# callers have the first two of these plus that number. In the harness, the office of the one call server has
+# the first, and its groups of callers count up from the second.
 OFFICE_CODE_BASE, CALLERS_CODE_BASE, LIST_POINT_CODE, CENTRE_POINT_CODE = 1_000, 2_000, 16_000, 16_001
 
 
@@ -27,7 +28,8 @@
     """Returns settings of exchange 1 in a full mesh of `exchanges`.
 
     Called numbers that begin with 37 and the three-digit number of an exchange lead to it. `circuits` is the
-    size of each trunk group, `access` the number of access circuits; `changes` replaces fields of the result.
+    size of each trunk group, `access` the number of access circuits, in groups of at most 3,900
+    (a CIC has 12 bits); `changes` replaces fields of the result.
     """
     peers = [
         Peer(
--- a/ospreybridge/lab/measure_tls.py
+++ b/ospreybridge/lab/measure_tls.py
@@ -33,7 +33,7 @@
 from ospreybridge.net.tls import HandshakeError, TlsContexts, TlsStream
 from ospreybridge.signalling import m3ua
 
-STORM_CALLS_FACTOR = 5  # as many times the calls of the other measurements: a p99 per phase needs more
+STORM_CALLS_FACTOR = 5  # times the calls of the other measurements: each phase needs enough for a p99
 MODULE_NAME = "ospreybridge.lab.measure_tls"
 STORM_PEERS = 200  # peers that dial at the same time
 STORM_PAUSE_MS = 200.0  # between a peer's handshakes, as when links fail and recover repeatedly
@@ -88,7 +88,7 @@
 def _measure_connections(loop: EventLoop, probe: ConnectionProbe, pid: int, count: int) -> dict[str, float]:
     """Measures the delay of single connections, then the rate of concurrent ones.
 
-    Single connections do not wait for a handshake slot of the call server.
+    The call server's pacing of handshake steps does not delay single connections.
     """
     loop.spawn(probe.connect_repeatedly(WARM_UP_CONNECTIONS))
     _run_until(loop, lambda: probe.completed == WARM_UP_CONNECTIONS)
--- a/ospreybridge/lab/onecall.py
+++ b/ospreybridge/lab/onecall.py
@@ -14,7 +14,10 @@
 
 
 class OneCall(Endpoint):
-    """The callers' endpoint of a settings file, for a single call; `output` prints one line."""
+    """The callers' endpoint of a settings file, for a single call.
+
+    `wide`: the call takes two circuits. `output` prints one line.
+    """
 
     def __init__(
         self,
--- a/ospreybridge/lab/relay.py
+++ b/ospreybridge/lab/relay.py
@@ -197,9 +197,9 @@
 class Relay:
     """The links of one relay process, and the commands that change them."""
 
-    def __init__(self, tap: Path, seed: int) -> None:
+    def __init__(self, tap_file: Path, seed: int) -> None:
         self.loop = EventLoop()
-        self.tap = Tap(tap)
+        self.tap = Tap(tap_file)
         self.random = random.Random(seed)
         self.links: dict[tuple[int, int], Link] = {}
         self.ports: dict[int, int] = {}  # by point code of the call server; port on which it listens
--- a/ospreybridge/lab/script.py
+++ b/ospreybridge/lab/script.py
@@ -138,16 +138,16 @@
     share: float
     factor: float
     exchanges: tuple[int, ...]  # empty: `share` of all, chosen at random
-    return_within: float
-    grace: float
+    return_within: float  # the callers of cut calls dial again within this time
+    grace: float  # from the drain of a processor to its stop
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
     """A checked script.
 
-    `seconds` and the times in dicts, nodes and troubles are those of the script; the others are divided by
-    `speedup`.
+    `seconds` and the times in dicts, nodes and troubles are those of the script; the other times are divided
+    by `speedup`, and `calls_per_s` is multiplied by it.
     """
 
     name: str
@@ -156,7 +156,7 @@
     seed: int
     fleet: dict[str, Any]
     calls_per_s: float
-    habits: CallerBehaviour
+    caller_behaviour: CallerBehaviour
     processor: Processor
     list_delay_ms: tuple[float, float]
     centre_interval_ms: float
@@ -252,7 +252,7 @@
         seed=day["seed"],
         fleet=fleet,
         calls_per_s=_properties(top, "traffic")["rate"] * speedup,
-        habits=CallerBehaviour(
+        caller_behaviour=CallerBehaviour(
             callers["patience"] / speedup,
             callers["redials"],
             callers["redial-after"] / speedup,
--- a/ospreybridge/lab/tap.py
+++ b/ospreybridge/lab/tap.py
@@ -60,11 +60,11 @@
     data = path.read_bytes()
     offset = 0
     while offset + RECORD_HEADER.size <= len(data):
-        when, kind, source, target, size = RECORD_HEADER.unpack_from(data, offset)
+        at, kind, source, target, size = RECORD_HEADER.unpack_from(data, offset)
         offset += RECORD_HEADER.size
         if offset + size > len(data):
             return
-        yield Record(when, kind, source, target, data[offset : offset + size])
+        yield Record(at, kind, source, target, data[offset : offset + size])
         offset += size
 
 
--- a/ospreybridge/net/loop.py
+++ b/ospreybridge/net/loop.py
@@ -1,7 +1,7 @@
 """The epoll event loop. A task is a generator; it waits only by yielding one of the four requests below.
 
-One iteration handles readable and writable sockets, then due timers, then flushes each stream written to. The
-clock is read once in an iteration, and everything in it uses that time.
+One iteration handles readable and writable sockets, then due timers, then flushes each stream written to.
+`now` is set once in an iteration, after the wait, and everything in it uses that time.
 """
 
 from __future__ import annotations
--- a/ospreybridge/net/tcp.py
+++ b/ospreybridge/net/tcp.py
@@ -126,7 +126,7 @@
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A non-blocking listening socket; port 0 picks a free port."""
+    """Returns a non-blocking listening socket; port 0 picks a free port."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ospreybridge/net/tls.py
+++ b/ospreybridge/net/tls.py
@@ -268,8 +268,10 @@
         sock.close()
 
 
-MAX_RECORDS_PER_READ = 16  # bounds how long one peer keeps the others waiting
-READS_PER_DRAIN = 8  # on a quiet link, most attempts to read a second record are a wasted system call
+MAX_RECORDS_PER_READ = 16  # of up to 16 KiB; bounds how long one peer keeps the others waiting
+# On a quiet link, an attempt to read a second record is mostly a wasted system call. It is made in one
+# read of this many, and whenever the last read returned more than one record.
+READS_PER_DRAIN = 8
 
 
 class TlsStream(Stream):
--- a/ospreybridge/standins/centre.py
+++ b/ospreybridge/standins/centre.py
@@ -21,7 +21,7 @@
         loop.timers.schedule(loop.now + interval_ms, self._send_advice)
 
     def best_tandem(self, origin: int, destination: int) -> int:
-        """Returns the tandem whose smaller leg has the most free circuits, or 255 if none has any."""
+        """Returns the tandem whose smaller leg has the most free circuits, or 255 (no advice) if none."""
         first_legs = self.free_circuits.get(origin, {})
         free_via = {
             tandem: min(free, self.free_circuits.get(tandem, {}).get(destination, 0))
@@ -33,6 +33,7 @@
 
     def _send_advice(self, now: float) -> None:
         self.loop.timers.schedule(now + self.interval_ms, self._send_advice)
+        # Two octets for each destination: 120 of them fit into the 254 octets of one SCCP unitdata message.
         for link in self.links:
             for offset in range(0, len(self.free_circuits), 120):
                 destinations = sorted(self.free_circuits)[offset : offset + 120]
@@ -64,7 +65,8 @@
 
     def on_other_data(self, data: m3ua.Data) -> None:
         _, body = sccp.decode(data.body)
-        # After one octet, each group: far exchange (two octets, little-endian) and free circuits (one octet).
+        # The sender's exchange number (one octet), then for each far exchange its number (two octets,
+        # little-endian) and the free circuits towards it (one octet; 255: that many or more).
         offsets = range(1, len(body) - 2, 3)
         self.centre.free_circuits[self.exchange_number] = {
             body[at] | body[at + 1] << 8: body[at + 2] for at in offsets
--- a/ospreybridge/standins/platform.py
+++ b/ospreybridge/standins/platform.py
@@ -1,6 +1,7 @@
 """Simulated parties of the platform: journal service, office and caller, on the call server's own loop.
 
-They share only the protocol codecs with the call server. Faults are switched on by attributes.
+They share only the event loop, the TCP streams and the protocol codecs with the call server. Faults are
+switched on by attributes.
 """
 
 from __future__ import annotations
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -61,9 +61,8 @@
             tls_options,
             None if tls_options is None else CertificateAuthority.create(folder, 30.0),
         )
-        self.log_records: list[
-            dict[str, Any]
-        ] = []  # the fronts' log, each record with `at`, the exchange number
+        # The log of all fronts; `at` in a record is the exchange number.
+        self.log_records: list[dict[str, Any]] = []
         self.wall_clock_offset_s = 0.0  # added to the wall clock of the fronts
         if self.authority is not None:
             self.authority.issue("standins", ["standins.test"])
@@ -106,11 +105,11 @@
         """Starts an exchange; a restarted one listens on its old port."""
         settings = self.settings(n)
         if n in self.ports:
-            at = ("127.0.0.1", self.ports[n])
+            address = ("127.0.0.1", self.ports[n])
             if settings.tls is not None:
-                settings = replace(settings, tls=replace(settings.tls, listen=at))
+                settings = replace(settings, tls=replace(settings.tls, listen=address))
             else:
-                settings = replace(settings, listen=at)
+                settings = replace(settings, listen=address)
         self.call_servers[n] = CallServer(settings, self.loop.timers)
 
         def log(event: str, **fields: Any) -> None:
@@ -128,15 +127,14 @@
     def kill(self, n: int) -> None:
         """Simulates a crash: all sockets close without a release, and the state is lost."""
         front = self.fronts[n]
-        front.call_server = CallServer(
-            front.settings, type(self.loop.timers)()
-        )  # later events reach an unused call server
+        # Events that follow reach this call server, which is not used otherwise.
+        front.call_server = CallServer(front.settings, type(self.loop.timers)())
         front.stop_listening()
         for channel in list(front.channels.values()):
             channel.stream.close("killed")
 
     def _attach_standins(self, n: int) -> None:
-        def place(code: int, context: int, size: int = 0) -> EndpointConfig:
+        def endpoint_config(code: int, context: int, size: int = 0) -> EndpointConfig:
             cics = parse_cic_ranges([f"1-{size}"]) if size else ()
             server = Peer(
                 f"cs{n}", "exchange", n, context, dial_address=("", 0), cics=cics, tls_name=f"cs{n}.test"
@@ -145,11 +143,13 @@
             return EndpointConfig(self.loop, code, server, lambda: ("127.0.0.1", self.ports[n]), contexts)
 
         office, callers, delays = 1_000 + n, 2_000 + n, HdrHistogram(1, 60_000_000, 3)
-        self.offices[n] = Office(place(office, office, 60), Processor(setup_ms=0.5, release_ms=0.1), n)
+        self.offices[n] = Office(
+            endpoint_config(office, office, 60), Processor(setup_ms=0.5, release_ms=0.1), n
+        )
         self.callers[n] = Callers(
-            place(callers, callers, 90), CallerBehaviour(redials=0), n, self.tally, delays
+            endpoint_config(callers, callers, 90), CallerBehaviour(redials=0), n, self.tally, delays
         )
-        ListLink(place(16_000, 9), self.exchange_list)
+        ListLink(endpoint_config(16_000, 9), self.exchange_list)
 
     def run_until(self, condition: Callable[[], bool], within: float = 8_000.0) -> None:
         """Runs the loop until the condition holds; fails if it does not within `within` milliseconds."""
@@ -158,10 +158,10 @@
     def ready(self) -> bool:
         """Whether all links are up, exchange lists loaded and circuits free."""
         return all(
-            len(core.links) == self.size + 2
-            and len(core.exchange_list.entries) == self.size
-            and all(group.free == group.size for group in core.groups.values())
-            for core in self.call_servers.values()
+            len(call_server.links) == self.size + 2
+            and len(call_server.exchange_list.entries) == self.size
+            and all(group.free == group.size for group in call_server.groups.values())
+            for call_server in self.call_servers.values()
         ) and all(self.offices[n].up and self.callers[n].up for n in self.call_servers)
 
     def channel(self, n: int, to: int) -> Channel:
@@ -190,7 +190,9 @@
     def all_circuits_free(self) -> bool:
         """Whether every circuit of every trunk group is free at both ends."""
         return all(
-            group.free == group.size for core in self.call_servers.values() for group in core.groups.values()
+            group.free == group.size
+            for call_server in self.call_servers.values()
+            for group in call_server.groups.values()
         )
 
     def hang_up_all(self) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -63,11 +63,11 @@
 
 def test_an_office_that_answers_after_the_caller_gave_up(tmp_path: Path) -> None:
     with fleet(tmp_path) as f:
-        f.offices[2].slowdown = 2_000.0  # about a second
+        f.offices[2].slowdown = 2_000.0  # a set-up takes about a second
         f.call(1, 2, 0)
         f.run_until(lambda: len(f.call_servers[2].calls) == 1)
-        call = next(iter(f.callers[1].intent_by_circuit.values()))
-        f.callers[1]._hang_up(f.loop.now, call)
+        intent = next(iter(f.callers[1].intent_by_circuit.values()))
+        f.callers[1]._hang_up(f.loop.now, intent)
         f.run_until(f.all_circuits_free)
         f.loop.run_until(lambda: f.offices[2].idle_at < f.loop.now, 5_000)
         f.loop.run_until(lambda: False, 100)
@@ -83,8 +83,8 @@
             loop_runs = serial % 8
             for _ in range(loop_runs):
                 f.loop.run_once(1.0)
-            for call in list(f.callers[1].intent_by_circuit.values()):
-                f.callers[1]._hang_up(f.loop.now, call)
+            for intent in list(f.callers[1].intent_by_circuit.values()):
+                f.callers[1]._hang_up(f.loop.now, intent)
             f.run_until(f.all_circuits_free)
         assert not f.callers[1].protocol_errors and not f.offices[2].protocol_errors
 
@@ -147,6 +147,7 @@
 
 
 def closed_by_peer(sock: object) -> bool:
+    """Whether the peer has closed or reset the connection of this non-blocking socket."""
     try:
         return sock.recv(4_096) == b""  # type: ignore[attr-defined,no-any-return]
     except BlockingIOError:
