--- a/ospreybridge/access/pool.py
+++ b/ospreybridge/access/pool.py
@@ -83,7 +83,7 @@
         return None, False
 
     def retire(self, connection_id: int, now: float) -> None:
-        """Takes a connection out of use after an unanswered set-up or an absence of its machine.
+        """Takes a connection out of use after an unanswered set-up or when its office was unreachable.
 
         A machine that vanishes leaves connections open that never break, and each set-up sent on one is lost.
         The cost: a slow office has a new connection opened for each time-out.
@@ -125,7 +125,7 @@
         return True
 
     def dial_started(self, now: float) -> None:
-        """Delays the next dial; the caller adds the connection's number to `dialling`."""
+        """Delays the next dial; the server adds the connection's number to `dialling`."""
         self.next_dial_at = now + FIRST_RETRY_DELAY_MS
 
     def dial_succeeded(self, now: float, connection_id: int) -> OfficeConnection:
--- a/ospreybridge/access/server.py
+++ b/ospreybridge/access/server.py
@@ -107,7 +107,7 @@
     # -- clients
 
     def client_connected(self, now: float) -> int | None:
-        """Assigns a number to an accepted connection; None if the caller has to close it at once."""
+        """Assigns a number to an accepted connection; None if the front has to close it at once."""
         while self.admission.is_full(len(self.clients)):
             evicted = self.admission.client_to_evict(self.clients.values())
             if evicted is None:
--- a/ospreybridge/core/association.py
+++ b/ospreybridge/core/association.py
@@ -142,7 +142,10 @@
     # -- received messages
 
     def receive(self, frame: bytes) -> None:
-        """Handles one whole frame; answers an unreadable or unexpected one by ERR, which affects no call."""
+        """Handles one whole frame; answers an unreadable or unexpected one by ERR.
+
+        A single such frame affects no call; MAX_CONSECUTIVE_ERRORS of them in a row close the association.
+        """
         try:
             message = m3ua.decode(frame)
             if type(message) is Data:
@@ -207,6 +210,7 @@
         self._notify(m3ua.ALTERNATE_ASP_ACTIVE, m3ua.STATUS_OTHER)
 
     def _notify(self, status: int, status_type: int = 1) -> None:
+        """Sends NTFY; `status_type`: 1 for a change of the AS state (RFC 4666, 3.8.2)."""
         assert self.peer is not None
         parameters = [
             (m3ua.STATUS, m3ua.uint32(status_type << 16 | status)),
@@ -280,9 +284,9 @@
             self._set_state(AspState.ACTIVE)
 
     def _handle_daud(self, message: Message) -> None:
-        """Answers a DAUD of the list service, or one for the own point code, by DAVA.
+        """Answers a DAUD of the list service, or one for this exchange's point code, by DAVA.
 
-        The state of other point codes is known to the list service alone.
+        Only the list service knows the state of other point codes.
         """
         if self.state is not AspState.ACTIVE or self.peer is None:
             raise MessageError("DAUD before the association is active", m3ua.UNEXPECTED_MESSAGE)
--- a/ospreybridge/core/calls.py
+++ b/ospreybridge/core/calls.py
@@ -32,7 +32,7 @@
 
 
 class Call:
-    """One call, from its IAM until both legs are released. Times are in milliseconds."""
+    """One call, from its IAM until it ends; its circuits may await RLC longer. Times are in milliseconds."""
 
     __slots__ = (
         "attempt_number",
@@ -66,7 +66,7 @@
         self.expires_at = self.attempt_sent_at = 0.0
         self.attempt_number = -1  # of the newest attempt; at most that one is outstanding
         self.stage = CallStage.PENDING
-        # Delivered to the own office; received from another exchange.
+        # Delivered to the own office, and received from another exchange: a call can be both.
         self.terminates_here = self.is_transit = False
         # Identifies the call in the logs of all exchanges: origin point code << 32 | ref there.
         self.trace = ref
--- a/ospreybridge/core/callserver.py
+++ b/ospreybridge/core/callserver.py
@@ -195,7 +195,7 @@
                 self.pending_events.append(interface.PeerMessage(self.peers[point_code].number, body))
                 self._dispatch_events(now)
             elif subsystem == sccp.CENTRE_SUBSYSTEM and point_code == self.centre_code:
-                pairs = zip(body[0::2], body[1::2], strict=False)
+                pairs = zip(body[0::2], body[1::2], strict=False)  # 255: no tandem is advised
                 self.advised_tandems.update((dest, via) for dest, via in pairs if via != 255)
         else:
             self.counts["other service"] += 1
@@ -212,7 +212,10 @@
             )
 
     def _report_to_centre(self, now: float) -> None:
-        """Sends the traffic centre the free circuits of the own trunk groups, three octets per exchange."""
+        """Sends the traffic centre the free circuits of the own trunk groups, three octets per exchange.
+
+        At most 80 exchanges: one SCCP unitdata message carries up to 254 octets.
+        """
         self.timers.schedule(now + self.timer_settings.report, self._report_to_centre)
         link = self.links.get(self.centre_code or -1)
         if link is not None:
@@ -272,7 +275,7 @@
         elif type(action) is interface.Refuse or type(action) is interface.Fail:
             self._execute_refusal(now, action)
         elif type(action) is interface.StartTimer:
-            self.timers.schedule(now + action.delay, self._reminder_due, action.label)
+            self.timers.schedule(now + action.delay, self._timer_due, action.label)
         elif type(action) is interface.Cancel:
             self._cancel_attempt(now, action)
         elif type(action) is interface.NotifyPeers:
@@ -289,7 +292,7 @@
             self.log_event("remark", text=action.text)
         # Close needs no work: associations are provisioned, not kept for single calls.
 
-    def _reminder_due(self, now: float, label: int) -> None:
+    def _timer_due(self, now: float, label: int) -> None:
         self.pending_events.append(interface.TimerExpired(label))
         self._dispatch_events(now)
 
@@ -397,7 +400,7 @@
         remaining_ms = words.get("left", 0)
         deadline = self.settings.classes[call.class_index].deadline
         patience = min(remaining_ms, deadline) if remaining_ms else deadline
-        # Rule 1 is measured where the answer arrives, so transport and lateness of this process count.
+        # Whether the answer is in time is measured where it arrives: transport and lateness here count.
         call.expires_at = (
             now + patience - self.timers.lateness.margin(now, patience, self.settings.answer_margin)
         )
--- a/ospreybridge/core/circuits.py
+++ b/ospreybridge/core/circuits.py
@@ -116,7 +116,8 @@
         """Whether our call gives way in a dual seizure (Q.764, 2.9.1.4); the far end concludes the opposite.
 
         The wider call proceeds. Of two single-circuit calls, that of the end which controls the circuit
-        proceeds; of two wider calls of one width, the lowest circuit divided by the width decides instead.
+        proceeds. Of two wider calls of equal width, it is the end that would control the circuit numbered
+        lowest CIC / width, rounded down.
         """
         if len(own_cics) != len(peer_cics):
             return len(own_cics) < len(peer_cics)
--- a/ospreybridge/core/exchange_list.py
+++ b/ospreybridge/core/exchange_list.py
@@ -55,7 +55,7 @@
         elif self.starts.get(point_code, (0, 0.0))[0] == start:
             started_at = self.starts[point_code][1]  # a repeated report must not look like another start
         else:
-            started_at = max(0.001, now - info.get("age", 0))
+            started_at = max(0.001, now - info.get("age", 0))  # 0 would mean that the start is unknown
             self.starts[point_code] = (start, started_at)
         exchange, zone = self.identities[point_code]
         entry = Entry(point_code, exchange, zone, READINESS[kind], started_at)
--- a/ospreybridge/core/handshakes.py
+++ b/ospreybridge/core/handshakes.py
@@ -19,9 +19,10 @@
 # A handshake that waits longer for its peer may lose its slot to another connection: some round trips.
 STALLED_AFTER_MS = 250.0
 MAX_ACTIVE_DIALS = 8  # outgoing handshakes at once: after a restart many peers are dialled a few at a time
-# Of the pause after failures in a row: with the usual 0.5 s, a repaired key set is noticed within 8 s.
+# Of the pause after failures in a row: the usual 0.5 s grows to 8 s (at most 10 s with the jitter), so a
+# repaired key set is noticed by then.
 MAX_DOUBLINGS = 4
-JITTER = 0.5  # random share of a pause, so that servers that failed together do not return together
+JITTER = 0.5  # width of the random factor (0.75 to 1.25): servers that failed together return apart
 
 
 def backoff(pause: float, failures: int, random_source: random.Random) -> float:
--- a/ospreybridge/core/lateness.py
+++ b/ospreybridge/core/lateness.py
@@ -1,8 +1,8 @@
 """Measures how late timers run in this process and derives the margin kept for answering in time. No I/O.
 
-Without it this process itself could break rule 1: on a shared processor an answer sent in time may arrive
-late, and a stall is often followed by another. The cost: calls after a stall have slightly less time for
-their set-up.
+Without the margin this process itself could break rule 1 (every call gets its final answer in time): on a
+shared processor an answer sent in time may arrive late, and a stall is often followed by another. The cost:
+calls after a stall have slightly less time for their set-up.
 """
 
 from __future__ import annotations
--- a/ospreybridge/core/renewal.py
+++ b/ospreybridge/core/renewal.py
@@ -1,7 +1,7 @@
 """Schedules the move of established links to a new association: after a key set was replaced, and by age.
 
-No I/O, time from the caller, randomness from a seed. The moves are spread so that a fleet whose certificates
-were replaced together, or that started together, does not do its handshakes all at once.
+No I/O; the time is passed in, and the randomness is seeded. The moves are spread so that a fleet whose
+certificates were replaced together, or that started together, does not do its handshakes all at once.
 """
 
 from __future__ import annotations
--- a/ospreybridge/core/supervision.py
+++ b/ospreybridge/core/supervision.py
@@ -38,7 +38,7 @@
         self.server = server
         # Repetition timers of GRS and RSC without an acknowledgement, by point code and first circuit.
         self.pending_resets: dict[tuple[int, int], ScheduledTimer] = {}
-        # The same of BLO, UBL and CGB, by point code, first circuit and message type.
+        # The same for BLO, UBL and CGB, by point code, first circuit and message type.
         self.pending_blockings: dict[tuple[int, int, int], ScheduledTimer] = {}
 
     def link_up(self, now: float, group: TrunkGroup) -> None:
--- a/ospreybridge/core/timers.py
+++ b/ospreybridge/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the core: a heap of due times. No clock is read here; the caller passes the time in."""
+"""Timers of the core: a heap of due times. No clock is read here; the time is passed in."""
 
 from __future__ import annotations
 
--- a/ospreybridge/daemon/daemon.py
+++ b/ospreybridge/daemon/daemon.py
@@ -41,8 +41,10 @@
         self.loop.on_task_error = lambda name, error: log(
             "task failed", task=name, error=repr(error), exc_info=error
         )
-        self.core = CallServer(settings, self.loop.timers, log if log_calls else self._log_without_calls)
-        self.front = M3uaFront(self.loop, settings, self.core, log, recorder)
+        self.call_server = CallServer(
+            settings, self.loop.timers, log if log_calls else self._log_without_calls
+        )
+        self.front = M3uaFront(self.loop, settings, self.call_server, log, recorder)
         self.exit_code = 0
 
     def _log_without_calls(self, event: str, **values: object) -> None:
@@ -66,26 +68,27 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         self.loop.run()
-        counts = dict(self.core.counts + self.front.counts)
-        self.log("stopped", finals=dict(self.core.finals), counts=counts, code=self.exit_code)
+        counts = dict(self.call_server.counts + self.front.counts)
+        self.log("stopped", finals=dict(self.call_server.finals), counts=counts, code=self.exit_code)
         return self.exit_code
 
     def stop(self) -> None:
         """Begins the shutdown: no new calls, then _drain."""
-        if not self.core.stopping:
+        if not self.call_server.stopping:
             self.front.stop_listening()
-            self.core.stop(self.loop.now)
+            self.call_server.stop(self.loop.now)
             self.loop.spawn(self._drain())
 
     def _drain(self) -> Task:
         """Waits for pending calls, releases established ones, then ends the associations and the loop."""
         started_at, stop_within = self.loop.now, self.settings.stop_within
-        while self.core.pending_count() and self.loop.now - started_at < PENDING_SHARE * stop_within:
+        while self.call_server.pending_count() and self.loop.now - started_at < PENDING_SHARE * stop_within:
             yield "sleep", 10.0
-        self.core.release_all(self.loop.now)
-        while not self.core.all_released() and self.loop.now - started_at < 0.95 * stop_within:
+        self.call_server.release_all(self.loop.now)
+        # The last 5 % of the time is left for ending the associations.
+        while not self.call_server.all_released() and self.loop.now - started_at < 0.95 * stop_within:
             yield "sleep", 10.0
-        if not self.core.all_released():
+        if not self.call_server.all_released():
             self.log("circuits not released by the far end in time")
         self.front.shut_down()
         self.loop.running = False
@@ -106,6 +109,6 @@
         if fixed:
             self.log("reload refused", faults=[f"{name} can't change without a restart" for name in fixed])
             return
-        self.settings = self.core.settings = self.front.settings = new
-        self.core.timer_settings = new.timers
+        self.settings = self.call_server.settings = self.front.settings = new
+        self.call_server.timer_settings = new.timers
         self.log("reloaded", changed=changed)
--- a/ospreybridge/daemon/platform.py
+++ b/ospreybridge/daemon/platform.py
@@ -39,6 +39,7 @@
             {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload}
         )
         self.log("serving", listen="{}:{}".format(*self.config.listen), offices=len(self.server.pools))
+        # Excludes long-lived objects from collections, as `Daemon.run` does.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
--- a/ospreybridge/fronts/access.py
+++ b/ospreybridge/fronts/access.py
@@ -140,7 +140,7 @@
             stream.write(data)
 
     def close(self, connection_id: int, reason: str) -> None:
-        """Closes a connection or abandons its dial; a client's is first read for a while, see below."""
+        """Closes a connection or abandons its dial; a client's is first read for LINGER_MS."""
         stream = self.streams.get(connection_id)
         if stream is None:
             self.dialling.discard(connection_id)
@@ -192,7 +192,7 @@
                 self.server.datagram_received(self.loop.now, source, body)
 
     def _follow_journal(self) -> Task:
-        """Keeps a connection to the journal service; after a change of its address without a delay."""
+        """Keeps a connection to the journal service; reconnects without a delay if its address changed."""
         while True:
             moves_before = self.journal_moves
             try:
--- a/ospreybridge/fronts/m3ua.py
+++ b/ospreybridge/fronts/m3ua.py
@@ -164,7 +164,7 @@
         self.association.send_heartbeat(answered)
 
     def request_audit(self) -> None:
-        """Sends DAUD for all point codes; the peer answers with the full list."""
+        """Sends DAUD for all point codes (mask of 14 bits); the peer answers with the full list."""
         assert self.association.peer is not None
         self.send(m3ua.encode_ssnm(m3ua.DAUD, self.association.peer.routing_context, 14, 0))
 
@@ -198,14 +198,14 @@
 class M3uaFront:
     """Owns the listening sockets, the channels and the peers' links of one call server.
 
-    Implements `Owner` of the associations.
+    Implements `AssociationOwner`.
     """
 
     def __init__(
         self,
         loop: EventLoop,
         settings: ServerSettings,
-        core: CallServer,
+        call_server: CallServer,
         log: Callable[..., None] | None = None,
         record: Recorder | None = None,
         wall: Callable[[], float] = time.time,
@@ -215,7 +215,13 @@
         Raises CredentialsError if the key set of the settings is not valid, OSError if a port can't be bound.
         `record` is called for each frame sent or received; `wall` returns Unix seconds.
         """
-        self.loop, self.settings, self.call_server, self.log, self.record = loop, settings, core, log, record
+        self.loop, self.settings, self.call_server, self.log, self.record = (
+            loop,
+            settings,
+            call_server,
+            log,
+            record,
+        )
         self.channels: dict[int, Channel] = {}  # by id() of the association
         self.links: dict[int, PeerLink] = {}  # by point code of the peer
         self.counts: Counter[str] = Counter()
@@ -461,7 +467,7 @@
         self.counts["links moved over" if moved else "moves failed"] += 1
         self.log_event("link moved over" if moved else "link not moved over", peer=peer.name)
 
-    # -- Owner interface of the associations
+    # -- AssociationOwner interface
 
     def association_active(self, association: Association) -> None:
         """Attaches an active association: as a new link, or as the successor on the peer's existing link."""
--- a/tests/test_access_sockets.py
+++ b/tests/test_access_sockets.py
@@ -62,9 +62,9 @@
     created = World()
     yield created
     created.loop.close()
-    for place in (*created.offices, created.journal):
+    for service in (*created.offices, created.journal):
         with contextlib.suppress(OSError):
-            place.listener.close()
+            service.listener.close()
 
 
 def test_calls_are_established_and_end(world: World) -> None:
