--- a/ospreybridge/fronts/access.py
+++ b/ospreybridge/fronts/access.py
@@ -209,7 +209,7 @@
     def _read_journal(self, stream: tcp.Stream) -> Generator[WaitRequest, None, None]:
         """Asks for the events after the last one applied and applies them until the connection ends."""
         splitter = frames.Splitter()
-        stream.write(frames.REQUEST.pack(self.server.office_list.last_number))
+        stream.write(frames.REQUEST_FORMAT.pack(self.server.office_list.last_number))
         while data := (yield from stream.read()):
             try:
                 for frame in splitter.feed(data):
--- a/ospreybridge/fronts/m3ua.py
+++ b/ospreybridge/fronts/m3ua.py
@@ -208,7 +208,7 @@
         call_server: CallServer,
         log: Callable[..., None] | None = None,
         record: Recorder | None = None,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         """Starts listening and dialling.
 
@@ -234,7 +234,7 @@
         self.credentials: CredentialManager | None = None
         self.listening_sockets: list[socket.socket] = []
         if settings.tls is not None:
-            self.credentials = CredentialManager(settings.tls, settings.seed, self.log_event, wall)
+            self.credentials = CredentialManager(settings.tls, settings.seed, self.log_event, wall_clock)
             self.renewals = RenewalScheduler(settings.tls.link_age, settings.tls.spread, settings.seed + 1)
             self.renewals.current_digest = self.credentials.digest
             loop.spawn(self._watch_credentials(self.credentials))
--- a/ospreybridge/signalling/frames.py
+++ b/ospreybridge/signalling/frames.py
@@ -14,7 +14,7 @@
 LENGTH_FORMAT = struct.Struct(">I")
 HEADER_FORMAT = struct.Struct(">QB")
 RECORD_FORMAT = struct.Struct(">IIHBBBHIQ")
-REQUEST = struct.Struct(">Q")  # number of the last frame received: asks for the frames after it
+REQUEST_FORMAT = struct.Struct(">Q")  # number of the last frame received: asks for the frames after it
 NO_CHANGES, FULL_LIST, CHANGES = 0, 1, 2  # kinds
 READY, DRAINING, REMOVED = 0, 1, 2  # states of an office
 MAX_RECORDS = 20_000
--- a/ospreybridge/standins/platform.py
+++ b/ospreybridge/standins/platform.py
@@ -53,7 +53,7 @@
         loop.spawn(self._send_heartbeats())
 
     def on_data(self, stream: tcp.Stream, data: bytes) -> None:
-        (after,) = frames.REQUEST.unpack(data)
+        (after,) = frames.REQUEST_FORMAT.unpack(data)
         self.requested_after.append(after)
         stream.write(b"".join(frames.encode(event) for event in self.events if event.number > after))
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -120,7 +120,7 @@
             settings,
             self.call_servers[n],
             log,
-            wall=lambda: time.time() + self.wall_clock_offset_s,
+            wall_clock=lambda: time.time() + self.wall_clock_offset_s,
         )
         self.ports[n] = self.fronts[n].tls_port or self.fronts[n].port
 
